--- a/cmd/fennelyard/explain.go
+++ b/cmd/fennelyard/explain.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/spf13/cobra"
 
-	"fennelyard/internal/story"
+	"fennelyard/internal/timeline"
 )
 
 func newExplain() *cobra.Command {
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			s, err := story.Tell(args[0], lines)
+			s, err := timeline.Collect(args[0], lines)
 			if err != nil {
 				return err
 			}
@@ -37,17 +37,17 @@
 	return c
 }
 
-func readLogs(in io.Reader, files []string) ([]*story.Line, error) {
+func readLogs(in io.Reader, files []string) ([]*timeline.Line, error) {
 	if len(files) == 0 {
-		return story.Read(in)
+		return timeline.Read(in)
 	}
-	var all []*story.Line
+	var all []*timeline.Line
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
 			return nil, errors.Newf("open log: %w", err)
 		}
-		lines, err := story.Read(f)
+		lines, err := timeline.Read(f)
 		_ = f.Close()
 		if err != nil {
 			return nil, errors.Newf("%s: %w", name, err)
@@ -57,9 +57,9 @@
 	return all, nil
 }
 
-func tell(out io.Writer, s *story.Story) error {
+func tell(out io.Writer, s *timeline.Timeline) error {
 	for _, q := range s.Requests {
-		if _, err := fmt.Fprintf(out, "Cause: %s\n%s\n", story.Cause(q), q); err != nil {
+		if _, err := fmt.Fprintf(out, "Cause: %s\n%s\n", timeline.Cause(q), q); err != nil {
 			return errors.Newf("write: %w", err)
 		}
 	}
@@ -68,7 +68,7 @@
 			return errors.Newf("write: %w", err)
 		}
 	}
-	for _, l := range s.Beliefs {
+	for _, l := range s.StateChanges {
 		if _, err := fmt.Fprintln(out, " ", l); err != nil {
 			return errors.Newf("write: %w", err)
 		}
--- a/cmd/fennelyard/join.go
+++ b/cmd/fennelyard/join.go
@@ -15,7 +15,7 @@
 	"github.com/go-logr/logr"
 	"github.com/spf13/cobra"
 
-	"fennelyard/internal/logbook"
+	"fennelyard/internal/asynclog"
 	"fennelyard/internal/metrics"
 	"fennelyard/internal/role"
 	"fennelyard/internal/schema"
@@ -70,9 +70,9 @@
 	if err != nil {
 		return err
 	}
-	book := logbook.New(c.OutOrStdout())
+	book := asynclog.New(c.OutOrStdout())
 	defer book.Close()
-	log := book.Beliefs(verbosity).WithValues("host", s.Get().GetHost())
+	log := book.StateChanges(verbosity).WithValues("host", s.Get().GetHost())
 	if mb := s.Get().GetMemoryMb(); mb > 0 {
 		debug.SetMemoryLimit(int64(float64(mb) * memoryShare * (1 << 20)))
 	}
@@ -123,7 +123,7 @@
 	}
 	e, err := role.NewEntry(role.EntryConfig{
 		Settings: s, Codec: platform.Codec(), Ready: platform.Ready, Directory: platform.Directory, Metrics: set,
-		Log: log, Requests: requests,
+		Log: log, RequestLog: requests,
 	})
 	if err != nil {
 		return nil, errors.Newf("start entry: %w", err)
--- a/cmd/fennelyard/standin.go
+++ b/cmd/fennelyard/standin.go
@@ -113,7 +113,7 @@
 			if err != nil {
 				return err
 			}
-			w := standin.NewWeights(standin.WeightsConfig{Listener: l, LoadsPerSecond: loads, FullSpeed: 4, MiBPerSecond: rate})
+			w := standin.NewWeightStore(standin.WeightStoreConfig{Listener: l, LoadsPerSecond: loads, FullSpeed: 4, MiBPerSecond: rate})
 			<-c.Context().Done()
 			w.Close()
 			return nil
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -26,9 +26,9 @@
 	QueueLimit int
 	// Now returns the time; nil: time.Now.
 	Now func() time.Time
-	// Judged, where set, is told the forecast wait of each request that was
+	// OnGrant, where set, is told the forecast wait of each request that was
 	// granted and the wait that it had. It must not block.
-	Judged func(forecast, actual time.Duration)
+	OnGrant func(forecast, actual time.Duration)
 }
 
 // Request is what the gate needs to know of a request.
@@ -41,21 +41,21 @@
 	Deadline      time.Time
 }
 
-// Supply is what stands ready for a target.
-type Supply struct {
+// Capacity is what stands ready for a target.
+type Capacity struct {
 	// Slots is the number of requests that may run at once.
 	Slots int
 	// ReadyIn is, without slots, the time until there are some; below 0 when
 	// there will be none; Known is false while nobody has said.
 	ReadyIn time.Duration
 	Known   bool
-	// Expected is the number of slots that are then expected.
-	Expected int
-	Reason   string
+	// ExpectedSlots is the number of slots that are then expected.
+	ExpectedSlots int
+	Reason        string
 }
 
-// Gate holds the queues of an entry. All methods are safe from any goroutine.
-type Gate struct {
+// Controller holds the queues of an entry. All methods are safe from any goroutine.
+type Controller struct {
 	cfg Config
 	mu  sync.Mutex
 	// queues and customers hold only what is in use.
@@ -70,7 +70,7 @@
 
 type queue struct {
 	target  string
-	supply  Supply
+	supply  Capacity
 	waiting []*Ticket
 	running int
 	// clock is the virtual time of the latest grant; shares holds the virtual
@@ -82,7 +82,7 @@
 
 // Ticket is a request's place. Its holder calls Leave exactly once.
 type Ticket struct {
-	gate    *Gate
+	gate    *Controller
 	queue   *queue
 	request Request
 	// entered is when the ticket came; granted when its last grant was.
@@ -103,20 +103,20 @@
 	ticketOver
 )
 
-// NewGate returns a gate with empty queues.
-func NewGate(cfg Config) *Gate {
+// NewController returns a gate with empty queues.
+func NewController(cfg Config) *Controller {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
-	return &Gate{
+	return &Controller{
 		cfg: cfg, queues: map[string]*queue{}, customers: map[string]int{},
 		service: map[string]time.Duration{}, arrivals: map[string]int{}, returning: map[string]int{},
 	}
 }
 
-// Enter takes a request in, or refuses it at once. The supply is what the
+// Admit takes a request in, or refuses it at once. The supply is what the
 // caller sees of the target now.
-func (g *Gate) Enter(r Request, s Supply) (*Ticket, *refusal.Refusal) {
+func (g *Controller) Admit(r Request, s Capacity) (*Ticket, *refusal.Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.cfg.Now()
@@ -127,12 +127,12 @@
 	limit := cmp.Or(r.CustomerLimit, DefaultCustomerLimit)
 	if g.customers[r.Customer] >= limit {
 		return nil, refusal.New(refusal.CustomerLimit, "customer %q has %d requests here already", r.Customer, limit).
-			After(g.retryAfter(g.queues[r.Target]))
+			WithRetryAfter(g.retryAfter(g.queues[r.Target]))
 	}
 	q := g.queue(r.Target)
 	if len(q.waiting) >= g.cfg.QueueLimit {
 		return nil, refusal.New(refusal.QueueFull, "%d requests wait for %q", len(q.waiting), r.Target).
-			After(g.retryAfter(q))
+			WithRetryAfter(g.retryAfter(q))
 	}
 	t := &Ticket{gate: g, queue: q, request: r, entered: now, verdict: make(chan *refusal.Refusal, 1)}
 	g.customers[r.Customer]++
@@ -147,7 +147,7 @@
 	return t, nil
 }
 
-func (g *Gate) queue(target string) *queue {
+func (g *Controller) queue(target string) *queue {
 	q, ok := g.queues[target]
 	if !ok {
 		q = &queue{target: target, shares: map[string]float64{}, held: map[string]int{}}
@@ -156,9 +156,9 @@
 	return q
 }
 
-// SetSupply tells what stands ready for a target, and answers every waiting
+// SetCapacity tells what stands ready for a target, and answers every waiting
 // request that this decides.
-func (g *Gate) SetSupply(target string, s Supply) {
+func (g *Controller) SetCapacity(target string, s Capacity) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	q, ok := g.queues[target]
@@ -170,7 +170,7 @@
 }
 
 // settle grants what can run and refuses what cannot be met in time any more.
-func (g *Gate) settle(q *queue) {
+func (g *Controller) settle(q *queue) {
 	now := g.cfg.Now()
 	for q.running < q.supply.Slots && len(q.waiting) > 0 {
 		order := q.inOrder()
@@ -186,19 +186,19 @@
 			t.forecast = wait
 		}
 		if !possible {
-			g.refuse(q, t, refusal.New(refusal.NoCapacity, "%s", q.supply.Reason).After(g.retryAfter(q)))
+			g.refuse(q, t, refusal.New(refusal.NoCapacity, "%s", q.supply.Reason).WithRetryAfter(g.retryAfter(q)))
 			continue
 		}
 		if now.Add(wait + g.service[q.target]).After(t.request.Deadline) {
 			g.refuse(q, t, refusal.New(refusal.TooLate,
 				"an answer is expected in %v, after the deadline", (wait+g.service[q.target]).Round(time.Millisecond)).
-				After(wait))
+				WithRetryAfter(wait))
 		}
 	}
 }
 
 // estimate is the expected wait of the request at a place in the queue.
-func (g *Gate) estimate(q *queue, place int) (wait time.Duration, possible bool) {
+func (g *Controller) estimate(q *queue, place int) (wait time.Duration, possible bool) {
 	service := g.service[q.target]
 	if q.supply.Slots > 0 {
 		ahead := place + 1 + q.running - q.supply.Slots
@@ -207,7 +207,7 @@
 	if q.supply.ReadyIn < 0 {
 		return 0, false
 	}
-	rounds := place / max(q.supply.Expected, 1)
+	rounds := place / max(q.supply.ExpectedSlots, 1)
 	return q.supply.ReadyIn + time.Duration(rounds)*service, true
 }
 
@@ -242,7 +242,7 @@
 	return out
 }
 
-func (g *Gate) grant(q *queue, t *Ticket, now time.Time) {
+func (g *Controller) grant(q *queue, t *Ticket, now time.Time) {
 	q.remove(t)
 	customer := t.request.Customer
 	q.clock = max(q.clock, q.shares[customer])
@@ -250,13 +250,13 @@
 	q.running++
 	t.state = ticketRunning
 	t.granted = now
-	if g.cfg.Judged != nil {
-		g.cfg.Judged(t.forecast, now.Sub(t.entered))
+	if g.cfg.OnGrant != nil {
+		g.cfg.OnGrant(t.forecast, now.Sub(t.entered))
 	}
 	t.verdict <- nil
 }
 
-func (g *Gate) refuse(q *queue, t *Ticket, r *refusal.Refusal) {
+func (g *Controller) refuse(q *queue, t *Ticket, r *refusal.Refusal) {
 	q.remove(t)
 	t.state = ticketOver
 	if r.RetryAfter() > 0 {
@@ -276,17 +276,17 @@
 	defer t.gate.mu.Unlock()
 	if t.state == ticketWaiting {
 		t.gate.refuse(t.queue, t, refusal.New(refusal.DeadlinePassed, "the deadline passed in the queue").
-			After(t.gate.retryAfter(t.queue)))
+			WithRetryAfter(t.gate.retryAfter(t.queue)))
 	}
 }
 
-// Verdict returns a channel that receives nil when the request may run, or the
+// Decision returns a channel that receives nil when the request may run, or the
 // refusal.
-func (t *Ticket) Verdict() <-chan *refusal.Refusal { return t.verdict }
+func (t *Ticket) Decision() <-chan *refusal.Refusal { return t.verdict }
 
-// Again puts a running request back into the queue, at its old place by time:
+// Requeue puts a running request back into the queue, at its old place by time:
 // its last attempt proved that it did not run.
-func (t *Ticket) Again() {
+func (t *Ticket) Requeue() {
 	t.gate.mu.Lock()
 	defer t.gate.mu.Unlock()
 	if t.state != ticketRunning {
@@ -305,9 +305,9 @@
 	t.gate.settle(q)
 }
 
-// Leave frees the request's place. With served, the time since the grant counts
+// Release frees the request's place. With served, the time since the grant counts
 // as a service time.
-func (t *Ticket) Leave(served bool) {
+func (t *Ticket) Release(served bool) {
 	g := t.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -328,7 +328,7 @@
 	g.settle(q)
 }
 
-func (g *Gate) release(q *queue, customer string) {
+func (g *Controller) release(q *queue, customer string) {
 	if g.customers[customer]--; g.customers[customer] == 0 {
 		delete(g.customers, customer)
 	}
@@ -344,7 +344,7 @@
 	}
 }
 
-func (g *Gate) learn(target string, took time.Duration) {
+func (g *Controller) learn(target string, took time.Duration) {
 	old, ok := g.service[target]
 	if !ok {
 		g.service[target] = took
@@ -353,7 +353,7 @@
 	g.service[target] = old + time.Duration(smoothing*float64(took-old))
 }
 
-func (g *Gate) retryAfter(q *queue) time.Duration {
+func (g *Controller) retryAfter(q *queue) time.Duration {
 	if q == nil {
 		return minRetryAfter
 	}
@@ -370,37 +370,37 @@
 
 // Demand is what one target's queue looks like.
 type Demand struct {
-	Target   string
-	Waiting  int
-	Running  int
-	Arrived  int
-	First    time.Time
-	Priority int32
-	// Returning counts requests that were refused and told to come back.
-	Returning int
+	Target           string
+	Waiting          int
+	Running          int
+	Arrived          int
+	EarliestDeadline time.Time
+	Priority         int32
+	// ExpectedRetries counts requests that were refused and told to come back.
+	ExpectedRetries int
 }
 
-// Demands returns the queues in use and counts arrivals since the last call.
-func (g *Gate) Demands() []Demand {
+// TakeDemands returns the queues in use and counts arrivals since the last call.
+func (g *Controller) TakeDemands() []Demand {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []Demand
 	for target, q := range g.queues {
 		d := Demand{
 			Target: target, Waiting: len(q.waiting), Running: q.running,
-			Arrived: g.arrivals[target], Returning: g.returning[target],
+			Arrived: g.arrivals[target], ExpectedRetries: g.returning[target],
 		}
 		delete(g.arrivals, target)
 		for _, t := range q.waiting {
-			if d.First.IsZero() || t.request.Deadline.Before(d.First) {
-				d.First = t.request.Deadline
+			if d.EarliestDeadline.IsZero() || t.request.Deadline.Before(d.EarliestDeadline) {
+				d.EarliestDeadline = t.request.Deadline
 			}
 			d.Priority = max(d.Priority, t.request.Priority)
 		}
 		out = append(out, d)
 	}
 	for target, n := range g.arrivals {
-		out = append(out, Demand{Target: target, Arrived: n, Returning: g.returning[target]})
+		out = append(out, Demand{Target: target, Arrived: n, ExpectedRetries: g.returning[target]})
 		delete(g.arrivals, target)
 	}
 	clear(g.returning)
@@ -408,15 +408,15 @@
 	return out
 }
 
-// Service returns the mean service time of a target, or 0.
-func (g *Gate) Service(target string) time.Duration {
+// MeanServiceTime returns the mean service time of a target, or 0.
+func (g *Controller) MeanServiceTime(target string) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.service[target]
 }
 
 // Queues returns the queues in use, without counting arrivals.
-func (g *Gate) Queues() []Demand {
+func (g *Controller) Queues() []Demand {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := make([]Demand, 0, len(g.queues))
@@ -428,7 +428,7 @@
 }
 
 // InFlight returns the number of requests that wait or run.
-func (g *Gate) InFlight() int {
+func (g *Controller) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 0
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -16,61 +16,61 @@
 	return admission.Request{Customer: customer, Target: "m", Deadline: time.Now().Add(in)}
 }
 
-func enter(t *testing.T, g *admission.Gate, r admission.Request, s admission.Supply) *admission.Ticket {
+func enter(t *testing.T, g *admission.Controller, r admission.Request, s admission.Capacity) *admission.Ticket {
 	t.Helper()
-	ticket, refused := g.Enter(r, s)
+	ticket, refused := g.Admit(r, s)
 	require.Nil(t, refused)
 	return ticket
 }
 
 var (
-	nothing = admission.Supply{}
-	oneSlot = admission.Supply{Slots: 1, Known: true}
+	nothing = admission.Capacity{}
+	oneSlot = admission.Capacity{Slots: 1, Known: true}
 )
 
 // TestFinalAnswersComeAtOnce: as soon as a forecast says that a request cannot
 // be met, it is refused, with the time to come back; one that can be met waits.
 func TestFinalAnswersComeAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := admission.NewGate(admission.Config{QueueLimit: 10})
+		g := admission.NewController(admission.Config{QueueLimit: 10})
 		short := enter(t, g, ask("a", time.Second), nothing)
 		long := enter(t, g, ask("a", time.Minute), nothing)
 		began := time.Now()
-		g.SetSupply("m", admission.Supply{Known: true, ReadyIn: 10 * time.Second, Expected: 4})
-		r := <-short.Verdict()
+		g.SetCapacity("m", admission.Capacity{Known: true, ReadyIn: 10 * time.Second, ExpectedSlots: 4})
+		r := <-short.Decision()
 		require.NotNil(t, r)
 		assert.Equal(t, refusal.TooLate, r.Code())
 		assert.Equal(t, refusal.NotRun, r.Outcome())
 		assert.Equal(t, 10*time.Second, r.RetryAfter())
 		assert.Equal(t, began, time.Now())
-		g.SetSupply("m", oneSlot)
-		assert.Nil(t, <-long.Verdict())
-		short.Leave(false)
-		long.Leave(true)
+		g.SetCapacity("m", oneSlot)
+		assert.Nil(t, <-long.Decision())
+		short.Release(false)
+		long.Release(true)
 		assert.Zero(t, g.InFlight())
 	})
 }
 
 func TestDeadlineInTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := admission.NewGate(admission.Config{QueueLimit: 10})
+		g := admission.NewController(admission.Config{QueueLimit: 10})
 		ticket := enter(t, g, ask("a", 2*time.Second), nothing)
 		began := time.Now()
-		r := <-ticket.Verdict()
+		r := <-ticket.Decision()
 		assert.Equal(t, refusal.DeadlinePassed, r.Code())
 		assert.Equal(t, 2*time.Second, time.Since(began))
-		ticket.Leave(false)
+		ticket.Release(false)
 	})
 }
 
 func TestNothingWillComeIsToldAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := admission.NewGate(admission.Config{QueueLimit: 10})
-		ticket := enter(t, g, ask("a", time.Minute), admission.Supply{Known: true, ReadyIn: -1, Reason: "no room"})
-		r := <-ticket.Verdict()
+		g := admission.NewController(admission.Config{QueueLimit: 10})
+		ticket := enter(t, g, ask("a", time.Minute), admission.Capacity{Known: true, ReadyIn: -1, Reason: "no room"})
+		r := <-ticket.Decision()
 		assert.Equal(t, refusal.NoCapacity, r.Code())
 		assert.Positive(t, r.RetryAfter())
-		ticket.Leave(false)
+		ticket.Release(false)
 	})
 }
 
@@ -78,26 +78,26 @@
 // the queue when b's first one comes. With one slot, b is next but one.
 func TestOneCustomersBurstDoesNotStarveAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := admission.NewGate(admission.Config{QueueLimit: 100})
+		g := admission.NewController(admission.Config{QueueLimit: 100})
 		running := enter(t, g, ask("a", time.Hour), oneSlot)
-		require.Nil(t, <-running.Verdict())
+		require.Nil(t, <-running.Decision())
 		var burst []*admission.Ticket
 		for range 20 {
 			burst = append(burst, enter(t, g, ask("a", time.Hour), oneSlot))
 		}
 		other := enter(t, g, ask("b", time.Hour), oneSlot)
 		before := 0
-		running.Leave(true)
+		running.Release(true)
 		for served := false; !served; {
 			select {
-			case <-other.Verdict():
+			case <-other.Decision():
 				served = true
 			default:
 				for _, x := range burst {
 					select {
-					case <-x.Verdict():
+					case <-x.Decision():
 						before++
-						x.Leave(true)
+						x.Release(true)
 					default:
 					}
 				}
@@ -109,19 +109,19 @@
 
 func TestLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := admission.NewGate(admission.Config{QueueLimit: 2})
+		g := admission.NewController(admission.Config{QueueLimit: 2})
 		r := ask("a", time.Minute)
 		r.CustomerLimit = 1
 		first := enter(t, g, r, nothing)
-		_, refused := g.Enter(r, nothing)
+		_, refused := g.Admit(r, nothing)
 		assert.Equal(t, refusal.CustomerLimit, refused.Code())
 		second := enter(t, g, ask("b", time.Minute), nothing)
-		_, refused = g.Enter(ask("c", time.Minute), nothing)
+		_, refused = g.Admit(ask("c", time.Minute), nothing)
 		assert.Equal(t, refusal.QueueFull, refused.Code())
-		_, refused = g.Enter(ask("c", 0), nothing)
+		_, refused = g.Admit(ask("c", 0), nothing)
 		assert.Equal(t, refusal.DeadlinePassed, refused.Code())
-		first.Leave(false)
-		second.Leave(false)
+		first.Release(false)
+		second.Release(false)
 	})
 }
 
@@ -129,20 +129,20 @@
 // not run goes back into the queue and is granted before what came later.
 func TestAnotherAttemptKeepsItsPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := admission.NewGate(admission.Config{QueueLimit: 10})
+		g := admission.NewController(admission.Config{QueueLimit: 10})
 		first := enter(t, g, ask("a", time.Minute), oneSlot)
-		require.Nil(t, <-first.Verdict())
+		require.Nil(t, <-first.Decision())
 		second := enter(t, g, ask("a", time.Hour), oneSlot)
-		first.Again()
-		require.Nil(t, <-first.Verdict())
+		first.Requeue()
+		require.Nil(t, <-first.Decision())
 		select {
-		case <-second.Verdict():
+		case <-second.Decision():
 			assert.Fail(t, "the later one went first")
 		default:
 		}
-		first.Leave(true)
-		require.Nil(t, <-second.Verdict())
-		second.Leave(true)
+		first.Release(true)
+		require.Nil(t, <-second.Decision())
+		second.Release(true)
 	})
 }
 
@@ -152,25 +152,25 @@
 func TestOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const service = 100 * time.Millisecond
-		g := admission.NewGate(admission.Config{QueueLimit: 50})
+		g := admission.NewController(admission.Config{QueueLimit: 50})
 		served, late, refusedAtOnce := 0, 0, 0
 		const offered = 400
 		results := make(chan string, offered)
 		for range offered {
 			go func() {
 				deadline := time.Now().Add(time.Second)
-				ticket, refused := g.Enter(admission.Request{Customer: "a", CustomerLimit: 1000, Target: "m", Deadline: deadline}, oneSlot)
+				ticket, refused := g.Admit(admission.Request{Customer: "a", CustomerLimit: 1000, Target: "m", Deadline: deadline}, oneSlot)
 				if refused != nil {
 					results <- "refused"
 					return
 				}
-				if r := <-ticket.Verdict(); r != nil {
-					ticket.Leave(false)
+				if r := <-ticket.Decision(); r != nil {
+					ticket.Release(false)
 					results <- "refused"
 					return
 				}
 				time.Sleep(service)
-				ticket.Leave(true)
+				ticket.Release(true)
 				if time.Now().After(deadline) {
 					results <- "late"
 					return
--- a/internal/logbook/logbook.go
+++ b/internal/asynclog/asynclog.go
@@ -1,8 +1,8 @@
-// Package logbook writes log lines without ever making the caller wait. Lines go
+// Package asynclog writes log lines without ever making the caller wait. Lines go
 // through a ring of fixed size to one writer; when the output stands still, lines
 // are dropped and counted, those of requests before those about what a process
 // believes.
-package logbook
+package asynclog
 
 import (
 	"fmt"
@@ -30,8 +30,8 @@
 	flushWait = 200 * time.Millisecond
 )
 
-// Book takes lines. All methods are safe from any goroutine.
-type Book struct {
+// Writer takes lines. All methods are safe from any goroutine.
+type Writer struct {
 	out     io.Writer
 	ring    chan []byte
 	dropped atomic.Int64
@@ -40,8 +40,8 @@
 }
 
 // New starts a book that writes to out.
-func New(out io.Writer) *Book {
-	b := &Book{out: out, ring: make(chan []byte, ringLines), stop: make(chan struct{}), done: make(chan struct{})}
+func New(out io.Writer) *Writer {
+	b := &Writer{out: out, ring: make(chan []byte, ringLines), stop: make(chan struct{}), done: make(chan struct{})}
 	go func() {
 		defer close(b.done)
 		b.run()
@@ -49,7 +49,7 @@
 	return b
 }
 
-func (b *Book) run() {
+func (b *Writer) run() {
 	var told int64
 	for {
 		select {
@@ -68,7 +68,7 @@
 }
 
 // gathered returns a line and those that come within a moment.
-func (b *Book) gathered(lines []byte) []byte {
+func (b *Writer) gathered(lines []byte) []byte {
 	over := time.NewTimer(gather)
 	defer over.Stop()
 	select {
@@ -87,9 +87,9 @@
 }
 
 // write passes over an error: there is no other place to report it to.
-func (b *Book) write(line []byte) { _, _ = b.out.Write(line) }
+func (b *Writer) write(line []byte) { _, _ = b.out.Write(line) }
 
-func (b *Book) flush() {
+func (b *Writer) flush() {
 	for {
 		select {
 		case line := <-b.ring:
@@ -101,7 +101,7 @@
 }
 
 // Close writes what the ring holds, if the output takes it in time.
-func (b *Book) Close() {
+func (b *Writer) Close() {
 	close(b.stop)
 	select {
 	case <-b.done:
@@ -110,11 +110,11 @@
 }
 
 // Dropped returns the number of lines that were dropped.
-func (b *Book) Dropped() int64 { return b.dropped.Load() }
+func (b *Writer) Dropped() int64 { return b.dropped.Load() }
 
 // writer is one class of lines.
 type writer struct {
-	b *Book
+	b *Writer
 	// free is how much of the ring must be free for a line of the class.
 	free int
 }
@@ -133,19 +133,19 @@
 	return len(p), nil
 }
 
-// Beliefs returns a logger for changes of what the process believes; lines
+// StateChanges returns a logger for changes of what the process believes; lines
 // above the verbosity are left out.
-func (b *Book) Beliefs(verbosity int) logr.Logger { return b.logger(0, verbosity) }
+func (b *Writer) StateChanges(verbosity int) logr.Logger { return b.logger(0, verbosity) }
 
 // Requests returns a logger for lines about requests.
-func (b *Book) Requests(verbosity int) logr.Logger { return b.logger(kept, verbosity) }
+func (b *Writer) Requests(verbosity int) logr.Logger { return b.logger(kept, verbosity) }
 
-func (b *Book) logger(free, verbosity int) logr.Logger {
+func (b *Writer) logger(free, verbosity int) logr.Logger {
 	return logr.FromSlogHandler(slog.NewJSONHandler(writer{b, free}, &slog.HandlerOptions{Level: slog.Level(-verbosity)}))
 }
 
-// Text returns an error's text for a log line, or "" without one.
-func Text(err error) string {
+// ErrorText returns an error's text for a log line, or "" without one.
+func ErrorText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/internal/logbook/logbook_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -1,4 +1,4 @@
-package logbook_test
+package asynclog_test
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"fennelyard/internal/logbook"
+	"fennelyard/internal/asynclog"
 )
 
 // stalled takes nothing until it is opened.
@@ -33,8 +33,8 @@
 // dropped is told once the output moves.
 func TestStalledOutputHoldsNothingUp(t *testing.T) {
 	out := &stalled{open: make(chan struct{})}
-	b := logbook.New(out)
-	requests, beliefs := b.Requests(0), b.Beliefs(0)
+	b := asynclog.New(out)
+	requests, beliefs := b.Requests(0), b.StateChanges(0)
 	for range 20000 {
 		requests.Info("request")
 	}
@@ -64,8 +64,8 @@
 func TestLinesGoOutTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out counted
-		b := logbook.New(&out)
-		log := b.Beliefs(0)
+		b := asynclog.New(&out)
+		log := b.StateChanges(0)
 		for range 3 {
 			for range 200 {
 				log.Info("server heard", "server", "i-1")
@@ -80,7 +80,7 @@
 
 // BenchmarkRequestLine: what one line adds to a request, output not counted.
 func BenchmarkRequestLine(b *testing.B) {
-	book := logbook.New(io.Discard)
+	book := asynclog.New(io.Discard)
 	defer book.Close()
 	log := book.Requests(0)
 	b.ReportAllocs()
--- a/internal/backend/heard.go
+++ b/internal/backend/heard.go
@@ -23,9 +23,9 @@
 	altered bool
 }
 
-// Heard holds the latest announcement of each server that announces itself to
+// Registry holds the latest announcement of each server that announces itself to
 // this entry. All methods are safe from any goroutine.
-type Heard struct {
+type Registry struct {
 	mu      sync.Mutex
 	servers map[string]*heardServer
 	// kick holds one token while something waits that should not wait for the
@@ -33,18 +33,18 @@
 	kick chan struct{}
 }
 
-// NewHeard returns an empty Heard.
-func NewHeard() *Heard {
-	return &Heard{servers: map[string]*heardServer{}, kick: make(chan struct{}, 1)}
+// NewRegistry returns an empty Heard.
+func NewRegistry() *Registry {
+	return &Registry{servers: map[string]*heardServer{}, kick: make(chan struct{}, 1)}
 }
 
-// Kick returns a channel that holds a token when an arrival, a change or a
+// ReportDue returns a channel that holds a token when an arrival, a change or a
 // leaving waits to be reported.
-func (h *Heard) Kick() <-chan struct{} { return h.kick }
+func (h *Registry) ReportDue() <-chan struct{} { return h.kick }
 
-// Take remembers an announcement. It returns false for one that is older than
+// Record remembers an announcement. It returns false for one that is older than
 // what was heard: announcements can overtake each other.
-func (h *Heard) Take(a *schema.Announcement, now time.Time) bool {
+func (h *Registry) Record(a *schema.Announcement, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	name := a.GetServer().GetName()
@@ -79,7 +79,7 @@
 
 // Unreported returns what the leader should be told, oldest news last. A server
 // that only gave a sign of life is sent without its content.
-func (h *Heard) Unreported(now time.Time) []*schema.Announcement {
+func (h *Registry) Unreported(now time.Time) []*schema.Announcement {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []*schema.Announcement
@@ -105,9 +105,9 @@
 	return out
 }
 
-// Reported takes note that a leader knows what Unreported returned. A leader
+// MarkReported takes note that a leader knows what Unreported returned. A leader
 // that is new to this entry must be told everything: see Forget.
-func (h *Heard) Reported(sent []*schema.Announcement) {
+func (h *Registry) MarkReported(sent []*schema.Announcement) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range sent {
@@ -119,8 +119,8 @@
 	}
 }
 
-// Forget makes everything unreported, for a leader that knows nothing yet.
-func (h *Heard) Forget() {
+// MarkAllUnreported makes everything unreported, for a leader that knows nothing yet.
+func (h *Registry) MarkAllUnreported() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range h.servers {
@@ -130,7 +130,7 @@
 
 // Leaving reports whether the server said to this entry, under an incarnation,
 // that it is leaving.
-func (h *Heard) Leaving(server string, incarnation uint64) bool {
+func (h *Registry) Leaving(server string, incarnation uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := h.servers[server]
@@ -139,7 +139,7 @@
 }
 
 // Len returns the number of servers heard of late.
-func (h *Heard) Len() int {
+func (h *Registry) Len() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.servers)
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -38,18 +38,18 @@
 	Incarnation uint64
 	// Propose commits a command; see control.Client.
 	Propose func(ctx context.Context, cmd *schema.Command) (*schema.Result, error)
-	// Attempt returns a random number for each run.
-	Attempt func() uint64
-	Log     logr.Logger
+	// NewAttemptID returns a random number for each run.
+	NewAttemptID func() uint64
+	Log          logr.Logger
 }
 
-// Keeper claims and settles. It is safe from any goroutine.
-type Keeper struct {
+// Client claims and settles. It is safe from any goroutine.
+type Client struct {
 	cfg Config
 }
 
-// NewKeeper returns a keeper.
-func NewKeeper(cfg Config) *Keeper { return &Keeper{cfg: cfg} }
+// NewClient returns a keeper.
+func NewClient(cfg Config) *Client { return &Client{cfg: cfg} }
 
 // Request is a non-idempotent request.
 type Request struct {
@@ -86,12 +86,12 @@
 
 // Begin claims a request. It returns a grant, or the kept answer of an earlier
 // arrival, or a refusal.
-func (k *Keeper) Begin(ctx context.Context, r Request) (*Grant, *schema.Answer, *refusal.Refusal) {
+func (k *Client) Begin(ctx context.Context, r Request) (*Grant, *schema.Answer, *refusal.Refusal) {
 	ctx, cancel := context.WithTimeout(ctx, claimWait)
 	defer cancel()
 	result, err := k.cfg.Propose(ctx, &schema.Command{Body: &schema.Command_ClaimRequest{ClaimRequest: &schema.ClaimRequest{
 		Customer: r.Customer, Key: r.Key, Digest: digest(r), Entry: k.cfg.Entry,
-		EntryIncarnation: k.cfg.Incarnation, DeadlineMs: r.Deadline.UnixMilli(), Attempt: k.cfg.Attempt(),
+		EntryIncarnation: k.cfg.Incarnation, DeadlineMs: r.Deadline.UnixMilli(), Attempt: k.cfg.NewAttemptID(),
 	}}})
 	if err != nil {
 		return nil, nil, k.noClaim(r, err)
@@ -105,23 +105,23 @@
 	case schema.ResultCode_RESULT_CODE_KEY_REUSED:
 		return nil, nil, refusal.New(refusal.KeyReused, "the key was used for another request; this one was not run")
 	default:
-		return nil, nil, refusal.New(refusal.NoCapacity, "%s", result.GetReason()).After(comeBack)
+		return nil, nil, refusal.New(refusal.NoCapacity, "%s", result.GetReason()).WithRetryAfter(comeBack)
 	}
 }
 
 // noClaim refuses a request that could not be claimed. Nothing was sent, so
 // this arrival did not run; but whether an earlier arrival of the key did is
 // known to the log alone, and "not run" is said only of a first arrival.
-func (k *Keeper) noClaim(r Request, err error) *refusal.Refusal {
+func (k *Client) noClaim(r Request, err error) *refusal.Refusal {
 	out := refusal.New(refusal.NoLeader, "the control group cannot record the request now: %v", errors.UnwrapAll(err)).
-		After(comeBack)
-	return Honest(out, r.First)
+		WithRetryAfter(comeBack)
+	return UnknownUnlessFirst(out, r.First)
 }
 
-// Honest turns the outcome of a refusal that was made without looking at the
+// UnknownUnlessFirst turns the outcome of a refusal that was made without looking at the
 // claims into unknown, unless the caller says that the key arrived for the
 // first time.
-func Honest(r *refusal.Refusal, first bool) *refusal.Refusal {
+func UnknownUnlessFirst(r *refusal.Refusal, first bool) *refusal.Refusal {
 	if first {
 		return r
 	}
@@ -132,10 +132,10 @@
 	switch {
 	case c.GetState() == schema.ClaimState_CLAIM_STATE_RUNNING:
 		return nil, refusal.New(refusal.StillRunning, "an earlier arrival of the key is under way").
-			WithOutcome(refusal.Unknown).After(stillRunning)
+			WithOutcome(refusal.Unknown).WithRetryAfter(stillRunning)
 	case c.GetState() == schema.ClaimState_CLAIM_STATE_DONE && c.GetAnswer().GetOmitted():
 		return nil, refusal.New(refusal.AnswerNotKept, "the request ran; its answer was not kept (more than %d bytes, or cut off)",
-			ledger.MaxKeptAnswer).WithOutcome(refusal.Ran)
+			ledger.MaxAnswerBytes).WithOutcome(refusal.Ran)
 	case c.GetState() == schema.ClaimState_CLAIM_STATE_DONE:
 		return c.GetAnswer(), nil
 	default:
@@ -146,7 +146,7 @@
 
 // Settle records how a run ended. It returns after the record is committed or
 // a short wait; the record is then offered on in the background.
-func (k *Keeper) Settle(g *Grant, outcome schema.ClaimOutcome, a *schema.Answer) {
+func (k *Client) Settle(g *Grant, outcome schema.ClaimOutcome, a *schema.Answer) {
 	recorded := make(chan struct{})
 	go func() {
 		defer close(recorded)
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -30,8 +30,8 @@
 	ErrBusy = errors.New("too much is uncommitted")
 	// ErrChangePending says that a membership change is not committed yet.
 	ErrChangePending = errors.New("a membership change is pending")
-	// ErrNotCurrent says that the leader has committed nothing in its term.
-	ErrNotCurrent = errors.New("the leader has not committed in its term yet")
+	// ErrNoCommitInTerm says that the leader has committed nothing in its term.
+	ErrNoCommitInTerm = errors.New("the leader has not committed in its term yet")
 )
 
 const (
@@ -208,9 +208,9 @@
 	return p.match, p.heard, true
 }
 
-// Rounds returns the number of the last heartbeat round that this leader began, and of the
+// HeartbeatRounds returns the number of the last heartbeat round that this leader began, and of the
 // last that a quorum has answered; 0 on other members.
-func (c *Core) Rounds() (begun, answered uint64) {
+func (c *Core) HeartbeatRounds() (begun, answered uint64) {
 	if c.role != RoleLeader {
 		return 0, 0
 	}
@@ -226,9 +226,9 @@
 	return c.round, rounds[len(rounds)-c.quorum()]
 }
 
-// Current reports whether a leader has committed an entry of its own term, so
+// CommittedInTerm reports whether a leader has committed an entry of its own term, so
 // that its commit index covers everything acknowledged before.
-func (c *Core) Current() bool {
+func (c *Core) CommittedInTerm() bool {
 	t, ok := c.log.term(c.log.commit)
 	return c.role == RoleLeader && ok && t == c.term
 }
@@ -298,8 +298,8 @@
 	if c.log.membershipIndex() > c.log.commit {
 		return ErrChangePending
 	}
-	if !c.Current() {
-		return ErrNotCurrent
+	if !c.CommittedInTerm() {
+		return ErrNoCommitInTerm
 	}
 	data, err := proto.Marshal(m)
 	if err != nil {
@@ -317,8 +317,8 @@
 	}
 	// Before the first commit of its term a new leader does not know which
 	// entries of its predecessors were acknowledged.
-	if !c.Current() {
-		return ErrNotCurrent
+	if !c.CommittedInTerm() {
+		return ErrNoCommitInTerm
 	}
 	c.broadcastHeartbeat()
 	c.reads = append(c.reads, pendingRead{id: id, index: c.log.commit, round: c.round})
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -196,7 +196,7 @@
 	}))
 	require.NoError(t, db.Close())
 	_, err = openStorage(t, folder)
-	assert.True(t, errors.Is(err, consensus.ErrDamaged), "%v", err)
+	assert.True(t, errors.Is(err, consensus.ErrCorrupt), "%v", err)
 }
 
 func FuzzStep(f *testing.F) {
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -6,9 +6,9 @@
 	"fennelyard/internal/schema"
 )
 
-// Transfer asks the leader to hand over to the most advanced other voter. It
+// TransferLeadership asks the leader to hand over to the most advanced other voter. It
 // returns false when there is none.
-func (c *Core) Transfer() bool {
+func (c *Core) TransferLeadership() bool {
 	if c.role != RoleLeader {
 		return false
 	}
--- a/internal/consensus/join.go
+++ b/internal/consensus/join.go
@@ -20,7 +20,7 @@
 // tendMembership takes one step towards the wanted members, if one is due.
 func (m *Member) tendMembership() {
 	for host, member := range m.joins {
-		next := NextMembership(m.core.Membership(), member, m.core)
+		next := NextMembershipChange(m.core.Membership(), member, m.core)
 		if voter := m.silentVoter(); voter >= 0 && makesVoter(next, member.GetId()) {
 			next = withoutMember(m.core.Membership(), voter)
 		}
@@ -67,12 +67,12 @@
 	return next
 }
 
-// NextMembership returns the next single change that brings a host's new disk
+// NextMembershipChange returns the next single change that brings a host's new disk
 // into a group, or nil when none is due. The order is: add the new member as a
 // learner, let it catch up, remove the host's old member, make the learner a
 // voter. The old member goes before the new one votes: with both, the quorum
 // would grow and the loss of a second host in between would stop the group.
-func NextMembership(now *schema.Membership, member *schema.Member, core *Core) *schema.Membership {
+func NextMembershipChange(now *schema.Membership, member *schema.Member, core *Core) *schema.Membership {
 	at := slices.IndexFunc(now.GetMembers(), func(m *schema.Member) bool { return m.GetId() == member.GetId() })
 	if at < 0 {
 		return withLearner(now, member)
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -34,9 +34,9 @@
 	roomTicks = 20
 )
 
-// Machine is the state machine that committed commands are applied to. The
+// StateMachine is the state machine that committed commands are applied to. The
 // functions are called from one goroutine.
-type Machine struct {
+type StateMachine struct {
 	// Apply must give the same result on every member.
 	Apply func(index uint64, data []byte) any
 	// Advance takes note of an entry that holds no command, so that the
@@ -51,9 +51,9 @@
 // MemberConfig configures a Member. Storage, Machine, Send and Random are
 // required.
 type MemberConfig struct {
-	Group   uint64
-	Storage *Storage
-	Machine Machine
+	Group        uint64
+	Storage      *Storage
+	StateMachine StateMachine
 	// Send hands messages for one member to the network. It must not block and
 	// may lose them.
 	Send func(to *schema.Member, messages []*schema.ConsensusMessage)
@@ -142,7 +142,7 @@
 	if err != nil {
 		return nil, errors.Newf("start member: %w", err)
 	}
-	if err := cfg.Machine.Restore(snapshot.GetData()); err != nil {
+	if err := cfg.StateMachine.Restore(snapshot.GetData()); err != nil {
 		return nil, errors.Newf("restore state: %w", err)
 	}
 	m := &Member{
@@ -255,9 +255,9 @@
 	m.call(func() { m.core.Unreachable(id) })
 }
 
-// Transfer hands leadership to another voter, if there is one.
-func (m *Member) Transfer() {
-	m.call(func() { m.core.Transfer() })
+// TransferLeadership hands leadership to another voter, if there is one.
+func (m *Member) TransferLeadership() {
+	m.call(func() { m.core.TransferLeadership() })
 }
 
 // Join asks the leader to take a host's new disk in: as a learner first, then
@@ -315,7 +315,7 @@
 	m.core.Tick()
 	m.ticks++
 	if m.ticks%roomTicks == 1 {
-		m.roomErr = m.cfg.Storage.Room()
+		m.roomErr = m.cfg.Storage.CheckFreeSpace()
 	}
 	if m.core.Role() == RoleLeader {
 		m.tendMembership()
@@ -374,7 +374,7 @@
 }
 
 func (m *Member) restore(s *schema.SnapshotState) error {
-	if err := m.cfg.Machine.Restore(s.GetData()); err != nil {
+	if err := m.cfg.StateMachine.Restore(s.GetData()); err != nil {
 		return errors.Newf("restore snapshot %d: %w", s.GetIndex(), err)
 	}
 	m.applied = s.GetIndex()
@@ -421,9 +421,9 @@
 	for _, e := range entries {
 		var result any
 		if e.GetKind() == schema.EntryKind_ENTRY_KIND_COMMAND {
-			result = m.cfg.Machine.Apply(e.GetIndex(), e.GetData())
+			result = m.cfg.StateMachine.Apply(e.GetIndex(), e.GetData())
 		} else {
-			m.cfg.Machine.Advance(e.GetIndex())
+			m.cfg.StateMachine.Advance(e.GetIndex())
 		}
 		m.applied = e.GetIndex()
 		p, ok := m.waiting[e.GetIndex()]
@@ -471,7 +471,7 @@
 	if m.applied < m.snapshotAt+m.cfg.SnapshotAfter {
 		return nil
 	}
-	data, err := m.cfg.Machine.Snapshot()
+	data, err := m.cfg.StateMachine.Snapshot()
 	if err != nil {
 		return errors.Newf("take snapshot: %w", err)
 	}
--- a/internal/consensus/member_test.go
+++ b/internal/consensus/member_test.go
@@ -50,15 +50,15 @@
 func (g *group) start(id uint64, folder string) {
 	s, err := consensus.OpenStorage(consensus.StorageConfig{Folder: folder, Group: 1, NewID: func() uint64 { return id }})
 	require.NoError(g.t, err)
-	if formed, err := s.Formed(); err == nil && formed == nil {
-		require.NoError(g.t, s.Form(g.first))
+	if formed, err := s.Membership(); err == nil && formed == nil {
+		require.NoError(g.t, s.Bootstrap(g.first))
 	}
 	x := &groupMember{storage: s, folder: folder}
 	random := rand.New(rand.NewSource(int64(id)))
 	x.Member, err = consensus.NewMember(consensus.MemberConfig{
 		Group: 1, Storage: s, Tick: g.tick, SnapshotAfter: 300, Random: random.Intn,
 		Send: func(to *schema.Member, messages []*schema.ConsensusMessage) { g.send(id, to.GetId(), messages) },
-		Machine: consensus.Machine{
+		StateMachine: consensus.StateMachine{
 			Apply: func(_ uint64, data []byte) any {
 				x.mu.Lock()
 				defer x.mu.Unlock()
@@ -120,7 +120,7 @@
 	for {
 		g.mu.Lock()
 		for id, m := range g.members {
-			if m.Status().Current && !g.cut[id] {
+			if m.Status().CommittedInTerm && !g.cut[id] {
 				g.mu.Unlock()
 				return id
 			}
@@ -177,7 +177,7 @@
 				leader := g.leader()
 				began := time.Now()
 				if planned {
-					g.members[leader].Transfer()
+					g.members[leader].TransferLeadership()
 					time.Sleep(time.Millisecond)
 				}
 				g.stop(leader)
--- a/internal/consensus/pages.go
+++ b/internal/consensus/pages.go
@@ -46,7 +46,7 @@
 		return errors.Newf("second meta page: %w", err)
 	}
 	if need := max(first.pages, second.pages) * uint64(first.pageSize); uint64(info.Size()) < need {
-		return errors.Newf("%d of %d bytes are there: %w", info.Size(), need, ErrDamaged)
+		return errors.Newf("%d of %d bytes are there: %w", info.Size(), need, ErrCorrupt)
 	}
 	return nil
 }
@@ -59,7 +59,7 @@
 func readMeta(f *os.File, at int64) (metaPage, error) {
 	buf := make([]byte, pageHeader+metaSize)
 	if _, err := f.ReadAt(buf, at); err != nil {
-		return metaPage{}, errors.Newf("%v: %w", err, ErrDamaged)
+		return metaPage{}, errors.Newf("%v: %w", err, ErrCorrupt)
 	}
 	meta := buf[pageHeader:]
 	sum := fnv.New64a()
@@ -70,7 +70,7 @@
 	}
 	if binary.NativeEndian.Uint32(meta) != metaMagic || sum.Sum64() != binary.NativeEndian.Uint64(meta[metaSumAt:]) ||
 		m.pageSize == 0 || m.pageSize > maxPageSize || m.pages > 1<<40 {
-		return metaPage{}, ErrDamaged
+		return metaPage{}, ErrCorrupt
 	}
 	return m, nil
 }
--- a/internal/consensus/safety_test.go
+++ b/internal/consensus/safety_test.go
@@ -68,7 +68,7 @@
 	case action < 98 && up:
 		w.compact(n)
 	case action < 99 && up:
-		n.core.Transfer()
+		n.core.TransferLeadership()
 		w.process(n, false)
 	case action < 100 && (w.stats.replaced == 0 || w.allVoters()):
 		// One lost disk at a time: its repair must be over before the next
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -22,15 +22,15 @@
 	LeaderHost string
 	Commit     uint64
 	Applied    uint64
-	// Current is true on a leader that has committed in its term.
-	Current bool
-	// Confirmed is the last moment at which a quorum is known to have taken this member for
+	// CommittedInTerm is true on a leader that has committed in its term.
+	CommittedInTerm bool
+	// ConfirmedAt is the last moment at which a quorum is known to have taken this member for
 	// the leader; the zero time on other members.
-	Confirmed  time.Time
-	Membership *schema.Membership
-	// Silent names the hosts of voters that have not answered this leader for some
+	ConfirmedAt time.Time
+	Membership  *schema.Membership
+	// SilentVoters names the hosts of voters that have not answered this leader for some
 	// time; empty on other members.
-	Silent []string
+	SilentVoters []string
 }
 
 // Status returns the member's latest status.
@@ -44,9 +44,9 @@
 func (m *Member) publish() {
 	s := MemberStatus{
 		ID: m.cfg.Storage.ID(), Role: m.core.Role(), Term: m.core.Term(), Leader: m.core.Leader(),
-		Commit: m.core.Commit(), Applied: m.applied, Current: m.core.Current(),
-		Confirmed:  m.confirmed(),
-		Membership: m.core.Membership(), Silent: m.silentHosts(),
+		Commit: m.core.Commit(), Applied: m.applied, CommittedInTerm: m.core.CommittedInTerm(),
+		ConfirmedAt: m.confirmed(),
+		Membership:  m.core.Membership(), SilentVoters: m.silentHosts(),
 	}
 	for _, member := range s.Membership.GetMembers() {
 		if member.GetId() == s.Leader {
@@ -57,12 +57,12 @@
 	old := m.status
 	m.status = s
 	m.mu.Unlock()
-	changed := old.Role != s.Role || old.Leader != s.Leader || old.Term != s.Term || old.Current != s.Current ||
+	changed := old.Role != s.Role || old.Leader != s.Leader || old.Term != s.Term || old.CommittedInTerm != s.CommittedInTerm ||
 		old.LeaderHost != s.LeaderHost
 	if changed && m.cfg.LeaderChanged != nil {
 		m.cfg.LeaderChanged(s)
 	}
-	same := (old.Membership == s.Membership || proto.Equal(old.Membership, s.Membership)) && slices.Equal(old.Silent, s.Silent)
+	same := (old.Membership == s.Membership || proto.Equal(old.Membership, s.Membership)) && slices.Equal(old.SilentVoters, s.SilentVoters)
 	if !same && m.cfg.MembersChanged != nil {
 		m.cfg.MembersChanged(s)
 	}
@@ -70,7 +70,7 @@
 
 // confirmed is when a quorum last took this member for the leader.
 func (m *Member) confirmed() time.Time {
-	begun, answered := m.core.Rounds()
+	begun, answered := m.core.HeartbeatRounds()
 	return m.rounds.confirmed(m.stepped, begun, answered)
 }
 
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -18,10 +18,10 @@
 )
 
 var (
-	// ErrDamaged says that the data folder holds something that was never
+	// ErrCorrupt says that the data folder holds something that was never
 	// written that way. The member must not start from it: it may have
 	// forgotten a vote or an acknowledged entry.
-	ErrDamaged = errors.New("the data folder is damaged")
+	ErrCorrupt = errors.New("the data folder is damaged")
 	// ErrDiskFull says that too little room is left to take on more.
 	ErrDiskFull = errors.New("the disk of the leader is full")
 )
@@ -106,7 +106,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = errors.Newf("%v: %w", r, ErrDamaged)
+			err = errors.Newf("%v: %w", r, ErrCorrupt)
 		}
 	}()
 	// The list of free pages is stored: without it bbolt would scan the file in
@@ -116,7 +116,7 @@
 	case errors.Is(err, bbolt.ErrTimeout):
 		return errors.New("another process holds the data folder")
 	case err != nil:
-		return errors.Newf("%v: %w", err, ErrDamaged)
+		return errors.Newf("%v: %w", err, ErrCorrupt)
 	}
 	s.db = db
 	if err = s.prepare(); err != nil {
@@ -138,7 +138,7 @@
 		var first error
 		for err := range tx.Check() {
 			if first == nil {
-				first = errors.Newf("%v: %w", err, ErrDamaged)
+				first = errors.Newf("%v: %w", err, ErrCorrupt)
 			}
 		}
 		return first
@@ -177,9 +177,9 @@
 // ID returns the id that was made with this disk.
 func (s *Storage) ID() uint64 { return s.id }
 
-// Formed returns the group's membership in the stored snapshot, or nil while
+// Membership returns the group's membership in the stored snapshot, or nil while
 // this member belongs to no group.
-func (s *Storage) Formed() (*schema.Membership, error) {
+func (s *Storage) Membership() (*schema.Membership, error) {
 	saved, err := s.Load()
 	if err != nil {
 		return nil, err
@@ -187,8 +187,8 @@
 	return saved.Snapshot.GetMembership(), nil
 }
 
-// Form makes this member one of a group's first members.
-func (s *Storage) Form(first *schema.Membership) error {
+// Bootstrap makes this member one of a group's first members.
+func (s *Storage) Bootstrap(first *schema.Membership) error {
 	return s.SaveSnapshot(&schema.SnapshotState{Index: FirstIndex, Term: firstTerm, Membership: first})
 }
 
@@ -198,7 +198,7 @@
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		state := tx.Bucket(stateBucket)
 		if state == nil || tx.Bucket(logBucket) == nil {
-			return errors.Newf("a bucket is missing: %w", ErrDamaged)
+			return errors.Newf("a bucket is missing: %w", ErrCorrupt)
 		}
 		if err := getChecked(state, hardStateKey, saved.HardState); err != nil {
 			return errors.Newf("read hard state: %w", err)
@@ -219,7 +219,7 @@
 	// A page that lost its last records still reads well.
 	last := saved.Snapshot.GetIndex() + uint64(len(saved.Entries))
 	if want := max(saved.HardState.GetLast(), saved.Snapshot.GetIndex()); want != last {
-		return Saved{}, errors.Newf("the log ends at %d and not at %d: %w", last, want, ErrDamaged)
+		return Saved{}, errors.Newf("the log ends at %d and not at %d: %w", last, want, ErrCorrupt)
 	}
 	return saved, nil
 }
@@ -234,7 +234,7 @@
 			return nil, errors.Newf("read entry %d: %w", want, err)
 		}
 		if e.GetIndex() != want || !bytes.Equal(k, indexKey(want)) {
-			return nil, errors.Newf("entry %d is missing: %w", want, ErrDamaged)
+			return nil, errors.Newf("entry %d is missing: %w", want, ErrCorrupt)
 		}
 		entries = append(entries, e)
 		want++
@@ -383,9 +383,9 @@
 	return out, nil
 }
 
-// Room returns ErrDiskFull when proposals should be refused. A full disk would
+// CheckFreeSpace returns ErrDiskFull when proposals should be refused. A full disk would
 // otherwise end the process in the middle of a write, on all members at once.
-func (s *Storage) Room() error {
+func (s *Storage) CheckFreeSpace() error {
 	if s.cfg.FreeBytes == nil {
 		return nil
 	}
@@ -430,14 +430,14 @@
 // decodeChecked never panics on any bytes.
 func decodeChecked(key, value []byte, m proto.Message) error {
 	if len(value) < sumSize {
-		return errors.Newf("record of %d bytes: %w", len(value), ErrDamaged)
+		return errors.Newf("record of %d bytes: %w", len(value), ErrCorrupt)
 	}
 	data := value[sumSize:]
 	if checksum(key, data) != binary.BigEndian.Uint32(value) {
-		return errors.Newf("checksum: %w", ErrDamaged)
+		return errors.Newf("checksum: %w", ErrCorrupt)
 	}
 	if err := proto.Unmarshal(data, m); err != nil {
-		return errors.Newf("%v: %w", err, ErrDamaged)
+		return errors.Newf("%v: %w", err, ErrCorrupt)
 	}
 	return nil
 }
--- a/internal/consensus/storage_test.go
+++ b/internal/consensus/storage_test.go
@@ -38,7 +38,7 @@
 	folder := t.TempDir()
 	s, err := openStorage(t, folder)
 	require.NoError(t, err)
-	require.NoError(t, s.Form(&schema.Membership{Members: []*schema.Member{{Id: testID, Host: "a"}}}))
+	require.NoError(t, s.Bootstrap(&schema.Membership{Members: []*schema.Member{{Id: testID, Host: "a"}}}))
 	var entries []*schema.LogEntry
 	for i := range uint64(40) {
 		entries = append(entries, entryAt(2+i, 3, fmt.Sprintf("entry %d", i)))
@@ -89,7 +89,7 @@
 		got, err := tryLoad(t, data)
 		if err != nil {
 			refused++
-			assert.True(t, errors.Is(err, consensus.ErrDamaged), "%s: %v", what, err)
+			assert.True(t, errors.Is(err, consensus.ErrCorrupt), "%s: %v", what, err)
 			return
 		}
 		harmless++
@@ -123,7 +123,7 @@
 	defer func() { _ = s.Close() }()
 	if s.ID() != testID {
 		// It joins anew, as a learner.
-		return consensus.Saved{}, errors.Newf("another identity: %w", consensus.ErrDamaged)
+		return consensus.Saved{}, errors.Newf("another identity: %w", consensus.ErrCorrupt)
 	}
 	return s.Load()
 }
@@ -156,7 +156,7 @@
 	require.NoError(t, err)
 	defer func() { _ = s.Close() }()
 	assert.EqualValues(t, 8, s.ID())
-	formed, err := s.Formed()
+	formed, err := s.Membership()
 	require.NoError(t, err)
 	assert.Nil(t, formed)
 }
@@ -177,9 +177,9 @@
 	})
 	require.NoError(t, err)
 	defer func() { _ = s.Close() }()
-	require.NoError(t, s.Room())
+	require.NoError(t, s.CheckFreeSpace())
 	free = 1 << 20
-	assert.True(t, errors.Is(s.Room(), consensus.ErrDiskFull))
+	assert.True(t, errors.Is(s.CheckFreeSpace(), consensus.ErrDiskFull))
 }
 
 // A member that was cut off comes back far behind and is sent a snapshot, which
@@ -192,7 +192,7 @@
 		Folder: t.TempDir(), Group: 1, NewID: func() uint64 { return 1 },
 	})
 	require.NoError(t, err)
-	require.NoError(t, s.Form(&schema.Membership{}))
+	require.NoError(t, s.Bootstrap(&schema.Membership{}))
 	log := make([]*schema.LogEntry, 0, entries)
 	for i := range uint64(entries) {
 		log = append(log, &schema.LogEntry{Index: consensus.FirstIndex + 1 + i, Term: 1, Data: make([]byte, size)})
--- a/internal/consensus/world_test.go
+++ b/internal/consensus/world_test.go
@@ -332,7 +332,7 @@
 		}
 		for _, id := range w.ids {
 			x := w.nodes[id]
-			next := consensus.NextMembership(n.core.Membership(), &schema.Member{Id: x.id, Host: x.host}, n.core)
+			next := consensus.NextMembershipChange(n.core.Membership(), &schema.Member{Id: x.id, Host: x.host}, n.core)
 			if next != nil && n.core.ProposeMembership(next) == nil {
 				w.process(n, false)
 				break
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -22,8 +22,8 @@
 	// ErrNoLeader says that no leader could be reached and that the command
 	// was given to none.
 	ErrNoLeader = errors.New("the control group has no leader that can be reached")
-	// ErrUncertain says that the command may or may not be committed.
-	ErrUncertain = errors.New("the control group did not answer; the outcome is not known")
+	// ErrOutcomeUnknown says that the command may or may not be committed.
+	ErrOutcomeUnknown = errors.New("the control group did not answer; the outcome is not known")
 	// ErrRefused says that the leader took nothing on; the message tells why.
 	ErrRefused = errors.New("the control group refused")
 )
@@ -108,8 +108,8 @@
 	return c.leader
 }
 
-// Heard returns when the group was last heard from.
-func (c *Client) Heard() time.Time {
+// LastReceived returns when the group was last heard from.
+func (c *Client) LastReceived() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.heard
@@ -199,7 +199,7 @@
 		}
 		if err := c.pause(ctx, notLeader && host != ""); err != nil {
 			if uncertain {
-				return errors.Newf("%v: %w", err, ErrUncertain)
+				return errors.Newf("%v: %w", err, ErrOutcomeUnknown)
 			}
 			return errors.Newf("%v: %w", err, ErrNoLeader)
 		}
--- a/internal/control/form.go
+++ b/internal/control/form.go
@@ -38,7 +38,7 @@
 	known := slices.ContainsFunc(s.Membership.GetMembers(), func(x *schema.Member) bool {
 		return x.GetId() == q.GetMember().GetId() && !x.GetLearner()
 	})
-	if s.Role == consensus.RoleLeader && s.Current && !known && g.configured(q.GetMember()) {
+	if s.Role == consensus.RoleLeader && s.CommittedInTerm && !known && g.configured(q.GetMember()) {
 		m.Join(q.GetMember())
 	}
 	return reply, nil
@@ -99,7 +99,7 @@
 
 func (g *Group) begin(members []*schema.Member, formed bool) error {
 	if !formed {
-		if err := g.cfg.Storage.Form(&schema.Membership{Members: members}); err != nil {
+		if err := g.cfg.Storage.Bootstrap(&schema.Membership{Members: members}); err != nil {
 			return errors.Newf("form group: %w", err)
 		}
 		g.cfg.Log.Info("control group formed", "members", len(members))
@@ -108,7 +108,7 @@
 }
 
 func (g *Group) isFounder() bool {
-	if g.cfg.Seeds != nil && (!g.cfg.Founding || !slices.Contains(g.cfg.Seeds(), g.cfg.Self.GetPeerAddress())) {
+	if g.cfg.Seeds != nil && (!g.cfg.Bootstrap || !slices.Contains(g.cfg.Seeds(), g.cfg.Self.GetPeerAddress())) {
 		return false
 	}
 	for _, h := range g.candidates() {
--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -37,17 +37,17 @@
 	// of a few control hosts, through which the others are found. Hosts are then
 	// named by their peer addresses.
 	Seeds func() []string
-	// Founding is set only while the whole deployment starts for the first time.
+	// Bootstrap is set only while the whole deployment starts for the first time.
 	// Without it, and outside the seeds, no host with an empty disk ever founds
 	// a group: all control hosts that lost their disks at once would otherwise
 	// start over beside what callers were told. It is used with Seeds only.
-	Founding bool
-	Storage  *consensus.Storage
-	Dialer   *peer.Dialer
-	// Asking is the dialer of questions to the leader; nil: Dialer. A connection on which
+	Bootstrap bool
+	Storage   *consensus.Storage
+	Dialer    *peer.Dialer
+	// QueryDialer is the dialer of questions to the leader; nil: Dialer. A connection on which
 	// calls keep timing out is replaced, and with many questions to a busy leader at a time
 	// that must not be the one on which it says that it leads.
-	Asking *peer.Dialer
+	QueryDialer *peer.Dialer
 	// Heartbeat is the tick of the group, Election the shortest election
 	// timeout.
 	Heartbeat     time.Duration
@@ -118,7 +118,7 @@
 func (g *Group) start() error {
 	m, err := consensus.NewMember(consensus.MemberConfig{
 		Group: g.cfg.Group, Storage: g.cfg.Storage, Send: g.links.send,
-		Machine: consensus.Machine{
+		StateMachine: consensus.StateMachine{
 			Apply: g.ledger.Apply, Advance: g.ledger.Advance, Snapshot: g.ledger.Snapshot, Restore: g.ledger.Restore,
 		},
 		Tick: g.cfg.Heartbeat, ElectionTicks: int(g.cfg.Election / g.cfg.Heartbeat),
@@ -128,7 +128,7 @@
 		},
 		MembersChanged: func(s consensus.MemberStatus) {
 			voters, learners := hostsOf(s.Membership)
-			g.cfg.Log.Info("control members", "voters", voters, "learners", learners, "silent", s.Silent)
+			g.cfg.Log.Info("control members", "voters", voters, "learners", learners, "silent", s.SilentVoters)
 		},
 	})
 	if err != nil {
@@ -204,7 +204,7 @@
 	if m == nil || m.Status().Role != consensus.RoleLeader {
 		return
 	}
-	m.Transfer()
+	m.TransferLeadership()
 	limit := time.After(g.cfg.Election)
 	ticker := time.NewTicker(g.cfg.Heartbeat)
 	defer ticker.Stop()
@@ -230,9 +230,9 @@
 	return consensus.MemberStatus{}
 }
 
-// Lead gives the group what only a leader's order driver can answer. It must be
+// SetLeaderHandlers gives the group what only a leader's order driver can answer. It must be
 // called before calls of peers come in.
-func (g *Group) Lead(report func(*schema.Report) *schema.ReportReply,
+func (g *Group) SetLeaderHandlers(report func(*schema.Report) *schema.ReportReply,
 	forecast func(*schema.Intent) []*schema.PlanLine, unproved func() []uint64,
 ) {
 	g.mu.Lock()
@@ -259,8 +259,8 @@
 	return result.(*schema.Result), nil
 }
 
-// Confirm returns nil only if this member led at some moment after the call.
-func (g *Group) Confirm(ctx context.Context) (uint64, error) {
+// ConfirmLeadership returns nil only if this member led at some moment after the call.
+func (g *Group) ConfirmLeadership(ctx context.Context) (uint64, error) {
 	m := g.current()
 	if m == nil {
 		return 0, consensus.ErrNotLeader
@@ -313,7 +313,7 @@
 
 func (g *Group) read(ctx context.Context, q *schema.ReadRequest) (*schema.ReadReply, error) {
 	revision, term, err := g.lately.confirm(ctx, g, time.Duration(q.GetAgeMs())*time.Millisecond)
-	if errors.Is(err, consensus.ErrNotLeader) || errors.Is(err, consensus.ErrNotCurrent) {
+	if errors.Is(err, consensus.ErrNotLeader) || errors.Is(err, consensus.ErrNoCommitInTerm) {
 		return &schema.ReadReply{NotLeader: true, LeaderHost: g.Status().LeaderHost}, nil
 	}
 	if err != nil {
@@ -322,18 +322,18 @@
 	return &schema.ReadReply{Revision: revision, Term: term}, nil
 }
 
-// Catch returns the term of a leader that led at some moment not longer than age
+// CatchUp returns the term of a leader that led at some moment not longer than age
 // before the call, once this member has applied all that was committed by then.
-func (g *Group) Catch(ctx context.Context, age time.Duration) (term uint64, err error) {
+func (g *Group) CatchUp(ctx context.Context, age time.Duration) (term uint64, err error) {
 	s := g.Status()
-	if s.Current {
+	if s.CommittedInTerm {
 		_, term, err = g.lately.confirm(ctx, g, age)
 		return term, err
 	}
 	if s.LeaderHost == "" {
 		return 0, consensus.ErrNotLeader
 	}
-	dialer := g.cfg.Asking
+	dialer := g.cfg.QueryDialer
 	if dialer == nil {
 		dialer = g.cfg.Dialer
 	}
@@ -361,7 +361,7 @@
 	defer ticker.Stop()
 	for {
 		var at uint64
-		g.ledger.View(func(h ledger.Heads, _ *ledger.Records) { at = h.Index })
+		g.ledger.View(func(h ledger.Status, _ *ledger.Records) { at = h.Index })
 		if at >= index {
 			return nil
 		}
@@ -374,15 +374,15 @@
 }
 
 func (g *Group) fetch(ctx context.Context, q *schema.FetchRequest) (*schema.FetchReply, error) {
-	if _, err := g.Confirm(ctx); err != nil {
-		if errors.Is(err, consensus.ErrNotLeader) || errors.Is(err, consensus.ErrNotCurrent) {
+	if _, err := g.ConfirmLeadership(ctx); err != nil {
+		if errors.Is(err, consensus.ErrNotLeader) || errors.Is(err, consensus.ErrNoCommitInTerm) {
 			return &schema.FetchReply{NotLeader: true, LeaderHost: g.Status().LeaderHost}, nil
 		}
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
 	out := &schema.FetchReply{}
-	g.ledger.View(func(h ledger.Heads, r *ledger.Records) {
-		out.Revision, out.ConfigRevision, out.OperatorRevision = h.Index, h.Config, h.Operator
+	g.ledger.View(func(h ledger.Status, r *ledger.Records) {
+		out.Revision, out.ConfigRevision, out.OperatorRevision = h.Index, h.ConfigRevision, h.OperatorRevision
 		out.LastOperator, out.LastCommand = h.LastOperator, h.LastCommand
 		for _, rec := range r.All() {
 			if strings.HasPrefix(rec.GetKey(), q.GetPrefix()) {
@@ -409,7 +409,7 @@
 	g.mu.Lock()
 	report := g.report
 	g.mu.Unlock()
-	if s := g.Status(); !s.Current || report == nil {
+	if s := g.Status(); !s.CommittedInTerm || report == nil {
 		return &schema.ReportReply{NotLeader: true, LeaderHost: s.LeaderHost}, nil
 	}
 	return report(q), nil
--- a/internal/control/lately.go
+++ b/internal/control/lately.go
@@ -28,7 +28,7 @@
 	asked := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if s := g.Status(); s.Current && l.term == s.Term && l.began.After(asked.Add(-age)) {
+	if s := g.Status(); s.CommittedInTerm && l.term == s.Term && l.began.After(asked.Add(-age)) {
 		return l.index, l.term, nil
 	}
 	began := time.Now()
@@ -43,7 +43,7 @@
 // committed and the term.
 func (g *Group) confirmNow(ctx context.Context) (index, term uint64, err error) {
 	before := g.Status()
-	if index, err = g.Confirm(ctx); err != nil {
+	if index, err = g.ConfirmLeadership(ctx); err != nil {
 		return 0, 0, err
 	}
 	// A term that has ended since confirms nothing of the next one.
--- a/internal/control/linear_test.go
+++ b/internal/control/linear_test.go
@@ -44,12 +44,12 @@
 		s, err := consensus.OpenStorage(consensus.StorageConfig{Folder: t.TempDir(), Group: 1, NewID: func() uint64 { return id }})
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = s.Close() })
-		require.NoError(t, s.Form(first))
+		require.NoError(t, s.Bootstrap(first))
 		l := ledger.New()
 		random := rand.New(rand.NewSource(seed + int64(id)))
 		member, err := consensus.NewMember(consensus.MemberConfig{
 			Group: 1, Storage: s, Tick: 50 * time.Millisecond, SnapshotAfter: 20, Random: random.Intn,
-			Machine: consensus.Machine{Apply: l.Apply, Advance: l.Advance, Snapshot: l.Snapshot, Restore: l.Restore},
+			StateMachine: consensus.StateMachine{Apply: l.Apply, Advance: l.Advance, Snapshot: l.Snapshot, Restore: l.Restore},
 			Send: func(to *schema.Member, messages []*schema.ConsensusMessage) {
 				g.send(id, to.GetId(), messages)
 			},
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -60,7 +60,7 @@
 	hosts   []*host.Host
 	engines []*standin.Engine
 	app     *standin.Application
-	weights *standin.Weights
+	weights *standin.WeightStore
 	client  *fennelyard.Client
 	oper    *operator.Client
 	plan    uint64
@@ -139,7 +139,7 @@
 	})
 	leader := ""
 	for i, h := range d.hosts {
-		if h.Leads() {
+		if h.IsLeader() {
 			leader = d.layout.Hosts()[i].Name
 		}
 	}
@@ -151,7 +151,7 @@
 	if err != nil {
 		return "", errors.Newf("listen: %w", err)
 	}
-	d.weights = standin.NewWeights(standin.WeightsConfig{Listener: l, LoadsPerSecond: 3, FullSpeed: 4, MiBPerSecond: 8192})
+	d.weights = standin.NewWeightStore(standin.WeightStoreConfig{Listener: l, LoadsPerSecond: 3, FullSpeed: 4, MiBPerSecond: 8192})
 	for i := range engineCount {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.%d:0", 41+i))
 		if err != nil {
@@ -169,7 +169,7 @@
 	}
 	d.app = standin.NewApplication(standin.ApplicationConfig{
 		Listener: l, Name: "booking-1", DataCentre: "hall-a", Service: service, Entries: d.layout.Backends(),
-		Work: 20 * time.Millisecond, HarmfulBody: harmfulBody, Ended: func() { d.ended.Add(1) },
+		RequestTime: 20 * time.Millisecond, CrashBody: harmfulBody, Crashed: func() { d.ended.Add(1) },
 	})
 	err = poll(ctx, func() bool {
 		s, err := d.oper.Status(ctx)
@@ -269,7 +269,7 @@
 			return "", errors.Newf("answer %d: replayed is %t", i+1, answer.Replayed())
 		}
 	}
-	if n := d.app.Runs().Of(key); n != 1 {
+	if n := d.app.Runs().Count(key); n != 1 {
 		return "", errors.Newf("it ran %d times", n)
 	}
 	return "one run, the kept answer for the second", nil
@@ -279,7 +279,7 @@
 func (d *deployment) plannedStop(ctx context.Context) (string, error) {
 	at := 0
 	for i, h := range d.hosts {
-		if h.Leads() {
+		if h.IsLeader() {
 			at = i
 		}
 	}
--- a/internal/demo/harmful.go
+++ b/internal/demo/harmful.go
@@ -51,7 +51,7 @@
 		}
 		h.apps = append(h.apps, standin.NewApplication(standin.ApplicationConfig{
 			Listener: l, Name: fmt.Sprintf("booking-%d", i+2), DataCentre: h.layout.Hosts()[i%hostCount].DataCentre,
-			Service: service, Entries: h.layout.Backends(), HarmfulBody: harmfulBody, Ended: func() { h.ended.Add(1) },
+			Service: service, Entries: h.layout.Backends(), CrashBody: harmfulBody, Crashed: func() { h.ended.Add(1) },
 		}))
 	}
 	const all = engineCount + 1 + harmfulServers
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -16,8 +16,8 @@
 	maxAddresses = 8
 )
 
-// Host is an entry as it is known here.
-type Host struct {
+// Entry is an entry as it is known here.
+type Entry struct {
 	Name       string
 	DataCentre string
 	Address    string
@@ -27,19 +27,19 @@
 	Load int
 }
 
-// Choose returns the addresses that a caller in a data centre should use, the
+// Select returns the addresses that a caller in a data centre should use, the
 // best first: entries that are alive and not stopping, those nearby before
 // others, the less loaded before the more loaded, and otherwise spread at
 // random. Suspected entries come only where no other is left: a caller that
 // finds nobody is worse off than one that tries. It is a pure function; random
 // returns a number from 0 to below n.
-func Choose(hosts []Host, dataCentre string, random func(n int) int) []string {
+func Select(hosts []Entry, dataCentre string, random func(n int) int) []string {
 	open := filter(hosts, schema.HostState_HOST_STATE_ALIVE)
 	if len(open) == 0 {
 		open = filter(hosts, schema.HostState_HOST_STATE_SUSPECT)
 	}
 	type ranked struct {
-		host Host
+		host Entry
 		far  int
 		turn int
 	}
@@ -61,8 +61,8 @@
 	return out
 }
 
-func filter(hosts []Host, state schema.HostState) []Host {
-	var out []Host
+func filter(hosts []Entry, state schema.HostState) []Entry {
+	var out []Entry
 	for _, h := range hosts {
 		if h.State == state && !h.Stopping {
 			out = append(out, h)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -45,12 +45,12 @@
 	return &Client{http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialInTime}}}
 }
 
-// Give sends an order and waits for the engine's final answer. An error proves
+// SendOrder sends an order and waits for the engine's final answer. An error proves
 // nothing: the order may be under way, and is given again with the same number.
 // The order is written only within sendWithin of the call: a leader that was
 // frozen in between is deposed by the time it wakes up, and the engine may be
 // another incarnation that ignores numbers.
-func (c *Client) Give(ctx context.Context, address string, o *schema.Order) (*schema.OrderReply, error) {
+func (c *Client) SendOrder(ctx context.Context, address string, o *schema.Order) (*schema.OrderReply, error) {
 	body, err := protojson.Marshal(o)
 	if err != nil {
 		return nil, errors.Newf("encode order: %w", err)
--- a/internal/entry/backends.go
+++ b/internal/entry/backends.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return writeRefusal(c, "", refusal.New(refusal.BadRequest, "%v", err))
 	}
-	if e.heard.Take(a, time.Now()) && a.GetServer().GetLeaving() {
+	if e.heard.Record(a, time.Now()) && a.GetServer().GetLeaving() {
 		e.refresh(e.gate.Queues())
 	}
 	return operator.WriteProto(c, http.StatusOK, &schema.AnnounceReply{
@@ -46,7 +46,7 @@
 // not stopping, then the other live ones.
 func (e *Entry) backendAddresses() []string {
 	alive := map[string]bool{}
-	for _, f := range e.cfg.Members.Facts() {
+	for _, f := range e.cfg.Membership.Facts() {
 		alive[f.GetHost()] = f.GetState() == schema.HostState_HOST_STATE_ALIVE && !f.GetStopping()
 	}
 	var out []string
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -25,8 +25,8 @@
 
 // The headers between a caller and an entry, beside those of package routing.
 const (
-	// HeaderKey names a non-idempotent request across its resends.
-	HeaderKey = "Idempotency-Key"
+	// HeaderIdempotencyKey names a non-idempotent request across its resends.
+	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderAttempt is 1 on the first arrival of a key.
 	HeaderAttempt = "Fennelyard-Attempt"
 	// HeaderRepeatable says no on a completion that must not run twice.
@@ -74,21 +74,21 @@
 		centre = e.cfg.Self.GetDataCentre()
 	}
 	reply := &schema.DirectoryReply{
-		Addresses: directory.Choose(e.hosts(), centre, e.cfg.Random),
+		Addresses: directory.Select(e.hosts(), centre, e.cfg.Random),
 		KeepMs:    uint32(e.cfg.Settings.GetEntry().GetDirectoryKeep().AsDuration().Milliseconds()),
 	}
 	return operator.WriteProto(c, http.StatusOK, reply)
 }
 
-func (e *Entry) hosts() []directory.Host {
+func (e *Entry) hosts() []directory.Entry {
 	facts := map[string]*schema.HostFact{}
-	for _, f := range e.cfg.Members.Facts() {
+	for _, f := range e.cfg.Membership.Facts() {
 		facts[f.GetHost()] = f
 	}
-	var out []directory.Host
+	var out []directory.Entry
 	for _, h := range e.cfg.Settings.GetHosts() {
 		f := facts[h.GetName()]
-		out = append(out, directory.Host{
+		out = append(out, directory.Entry{
 			Name: h.GetName(), DataCentre: h.GetDataCentre(), Address: h.GetCallerAddress(),
 			State: f.GetState(), Stopping: f.GetStopping(), Load: int(f.GetLoad()),
 		})
@@ -113,7 +113,7 @@
 	key   string
 	first bool
 	// guarded is the request as the guard knows it; nil: it was not needed yet.
-	guarded *quarantine.Subject
+	guarded *quarantine.KeyedRequest
 }
 
 // check refuses before anything is spent on a request.
@@ -121,18 +121,18 @@
 	q := c.Request()
 	in := &incoming{
 		id: strconv.FormatUint(e.cfg.RandomID(), 36), kind: kind, method: q.Method, began: time.Now(), path: q.URL.RequestURI(),
-		customer: q.Header.Get(routing.HeaderCustomer), key: q.Header.Get(HeaderKey),
+		customer: q.Header.Get(routing.HeaderCustomer), key: q.Header.Get(HeaderIdempotencyKey),
 		first: q.Header.Get(HeaderAttempt) == "1",
 	}
 	if e.Readiness() == ReadinessNone {
 		return in, refusal.New(refusal.NotReady, "this entry does not know yet that its configuration is current").
-			After(time.Second)
+			WithRetryAfter(time.Second)
 	}
 	if in.customer == "" {
 		return in, refusal.New(refusal.UnknownCustomer, "header %s is missing", routing.HeaderCustomer)
 	}
 	if len(in.key) > claim.MaxKey {
-		return in, refusal.New(refusal.BadRequest, "header %s has more than %d bytes", HeaderKey, claim.MaxKey)
+		return in, refusal.New(refusal.BadRequest, "header %s has more than %d bytes", HeaderIdempotencyKey, claim.MaxKey)
 	}
 	body, refused := e.readBody(c)
 	in.body = body
@@ -201,7 +201,7 @@
 // enter queues a request; the leader is told at once when nothing can serve it.
 func (e *Entry) enter(in *incoming) (*admission.Ticket, *refusal.Refusal) {
 	s := e.supply(in.target.name, len(in.target.candidates), in.target.service != nil)
-	ticket, refused := e.gate.Enter(in.admission(), s)
+	ticket, refused := e.gate.Admit(in.admission(), s)
 	if s.Slots == 0 && in.target.service == nil {
 		e.wake()
 	}
@@ -213,7 +213,7 @@
 	_, span := e.cfg.Tracer.Start(ctx, "queue")
 	defer span.End()
 	select {
-	case r := <-t.Verdict():
+	case r := <-t.Decision():
 		return r
 	case <-ctx.Done():
 		return refusal.New(refusal.DeadlinePassed, "the caller went away")
@@ -251,5 +251,5 @@
 		c.Response().Header().Set("Retry-After", strconv.Itoa(int(seconds)))
 	}
 	c.Response().Header().Set(routing.HeaderOutcome, r.Outcome().String())
-	return operator.WriteProto(c, r.Status(), r.Reply(id))
+	return operator.WriteProto(c, r.Status(), r.ErrorReply(id))
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -49,7 +49,7 @@
 	Incarnation uint64
 	Replica     *ledger.Replica
 	Control     *control.Client
-	Members     *membership.Service
+	Membership  *membership.Service
 	Random      func(n int) int
 	RandomID    func() uint64
 	Log         logr.Logger
@@ -64,12 +64,12 @@
 // Entry serves callers, operators and backend servers of one host.
 type Entry struct {
 	cfg    Config
-	gate   *admission.Gate
+	gate   *admission.Controller
 	table  *routing.Table
-	budget *routing.Budget
+	budget *routing.RetryBudget
 	sender *routing.Sender
-	keeper *claim.Keeper
-	heard  *backend.Heard
+	keeper *claim.Client
+	heard  *backend.Registry
 	// guard holds requests back that end the servers that run them, and suspects holds a
 	// token while it knows what is to be recorded.
 	guard    *quarantine.Guard
@@ -104,19 +104,19 @@
 func New(cfg Config) *Entry {
 	e := &Entry{
 		cfg: cfg, table: routing.NewTable(routing.PolicyWeighted, cfg.Random),
-		budget: routing.NewBudget(), sender: routing.NewSender(), heard: backend.NewHeard(),
+		budget: routing.NewRetryBudget(), sender: routing.NewSender(), heard: backend.NewRegistry(),
 		forecasts: newForecasts(), kick: make(chan struct{}, 1), suspects: make(chan struct{}, 1),
 		stop: make(chan struct{}), done: make(chan struct{}),
 	}
-	e.gate = admission.NewGate(admission.Config{
-		QueueLimit: int(cfg.Settings.GetEntry().GetQueueLimit()), Judged: cfg.Metrics.Judged,
+	e.gate = admission.NewController(admission.Config{
+		QueueLimit: int(cfg.Settings.GetEntry().GetQueueLimit()), OnGrant: cfg.Metrics.Judged,
 	})
-	e.keeper = claim.NewKeeper(claim.Config{
+	e.keeper = claim.NewClient(claim.Config{
 		Entry: cfg.Self.GetName(), Incarnation: cfg.Incarnation, Propose: cfg.Control.Propose,
-		Attempt: cfg.RandomID, Log: cfg.Log,
+		NewAttemptID: cfg.RandomID, Log: cfg.Log,
 	})
 	e.guard = quarantine.NewGuard(quarantine.GuardConfig{
-		Entry: cfg.Self.GetName(), Presence: relay.NewSender(relay.Config{}).Presence, Changed: e.recordSoon, Log: cfg.Log,
+		Entry: cfg.Self.GetName(), Probe: relay.NewSender(relay.Config{}).Probe, OnChange: e.recordSoon, Log: cfg.Log,
 	})
 	e.gauges()
 	e.serve(cfg.CallerListener, e.callerRoutes())
@@ -154,7 +154,7 @@
 	e.cfg.Metrics.Gauge("ejected_servers", "Backend servers that are left out for failures.",
 		func() float64 { return float64(e.table.Ejected(time.Now())) })
 	e.cfg.Metrics.Gauge("requests_held_back", "Requests that this entry holds back, as they end their servers.",
-		func() float64 { return float64(e.guard.Book().HeldCount()) })
+		func() float64 { return float64(e.guard.Suspects().HeldBackCount()) })
 	e.cfg.Metrics.Gauge("heard_servers", "Backend servers that announce themselves to this entry.",
 		func() float64 { return float64(e.heard.Len()) })
 }
@@ -236,7 +236,7 @@
 // is in flight until the context ends.
 func (e *Entry) Drain(ctx context.Context) {
 	e.stopping.Store(true)
-	e.cfg.Members.Leave()
+	e.cfg.Membership.AnnounceStopping()
 	keep := e.cfg.Settings.GetEntry().GetDirectoryKeep().AsDuration() + drainMargin
 	e.cfg.Log.Info("draining", "keep", keep.String(), "in-flight", e.InFlight())
 	select {
--- a/internal/entry/harmful.go
+++ b/internal/entry/harmful.go
@@ -22,9 +22,9 @@
 )
 
 // subject is a request as the guard knows it.
-func (in *incoming) subject() *quarantine.Subject {
+func (in *incoming) subject() *quarantine.KeyedRequest {
 	if in.guarded == nil {
-		in.guarded = quarantine.NewSubject(quarantine.Request{
+		in.guarded = quarantine.NewKeyedRequest(quarantine.Request{
 			Method: in.method, Host: in.target.name, Target: in.path, Caller: in.customer, Body: in.body,
 		})
 	}
@@ -34,12 +34,12 @@
 // heldBack refuses a request that is known to end the servers that run it, nil: it is not. It
 // waits for what becomes known of the servers at which it has just broken off.
 func (e *Entry) heldBack(ctx context.Context, in *incoming) *refusal.Refusal {
-	e.guard.Await(ctx, in.subject())
+	e.guard.AwaitProbes(ctx, in.subject())
 	left, held := e.guard.HeldBack(in.subject())
 	if !held {
 		return nil
 	}
-	return refusal.New(refusal.HeldBack, "servers ended that ran this request before (%s)", in.subject().Known()).After(left)
+	return refusal.New(refusal.HeldBack, "servers ended that ran this request before (%s)", in.subject().ComputedKey()).WithRetryAfter(left)
 }
 
 // brokeOff tells the guard where an attempt broke off. A server that leaves ends anyhow,
@@ -51,8 +51,8 @@
 	works := false
 	e.cfg.Replica.View(func(r *ledger.Records) { works = e.takesWork(r.Server(at.Server), at.Incarnation) })
 	if works {
-		server := incarnation.Name{Server: at.Server, Born: int64(at.Incarnation)}
-		e.guard.BrokeOff(in.subject(), server.String(), at.Address)
+		server := incarnation.Name{Server: at.Server, StartMs: int64(at.Incarnation)}
+		e.guard.AttemptFailed(in.subject(), server.String(), at.Address)
 	}
 }
 
@@ -81,7 +81,7 @@
 // to which change that is; less than all only where the entry stops.
 func (e *Entry) recordSince(change uint64) uint64 {
 	for {
-		list, to := e.guard.Book().Since(change, quarantine.PartNoted)
+		list, to := e.guard.Suspects().Since(change, quarantine.PartNoted)
 		if len(list) == 0 {
 			return to
 		}
@@ -115,5 +115,5 @@
 func (e *Entry) takeSuspects() {
 	var list []*schema.Suspect
 	e.cfg.Replica.View(func(r *ledger.Records) { list = r.Suspects(time.Now()) })
-	e.guard.Book().Take(list, true)
+	e.guard.Suspects().Merge(list, true)
 }
--- a/internal/entry/model.go
+++ b/internal/entry/model.go
@@ -66,13 +66,13 @@
 	if refused != nil {
 		return e.refuse(c, in, refused)
 	}
-	e.budget.Earn()
+	e.budget.Deposit()
 	run := &attempts{
 		e: e, in: in, ticket: ticket, stream: stream, cold: len(in.target.candidates) == 0,
 		exclude: map[string]bool{},
 	}
 	served, refused := run.all(ctx, c)
-	ticket.Leave(served)
+	ticket.Release(served)
 	if refused != nil {
 		return e.refuse(c, in, refused)
 	}
@@ -108,7 +108,7 @@
 			return served, a.honest(r)
 		}
 		a.e.cfg.Metrics.Retry()
-		a.ticket.Again()
+		a.ticket.Requeue()
 	}
 }
 
@@ -135,8 +135,8 @@
 	defer span.End()
 	span.SetAttributes(attribute.String("fennelyard.server", chosen.Server))
 	call := e.call(ctx, c.Request(), in, chosen)
-	call.Fresh = a.fresh
-	call.Patience = max(minPatience, patienceTimes*e.gate.Service(in.target.name))
+	call.NewConnection = a.fresh
+	call.SilenceTimeout = max(minPatience, patienceTimes*e.gate.MeanServiceTime(in.target.name))
 	reply, err := e.sender.Send(ctx, call)
 	if err != nil {
 		a.done(chosen, routing.Result{OK: ctx.Err() != nil, Reported: -1})
@@ -171,8 +171,8 @@
 func (a *attempts) noReplica(ctx context.Context) (finished, served bool, r *refusal.Refusal) {
 	if len(a.exclude) > 0 {
 		clear(a.exclude)
-		if !a.paid && !a.e.budget.Spend() {
-			return true, false, refusal.New(refusal.BackendFailed, "every replica refused or failed").After(time.Second)
+		if !a.paid && !a.e.budget.TryWithdraw() {
+			return true, false, refusal.New(refusal.BackendFailed, "every replica refused or failed").WithRetryAfter(time.Second)
 		}
 	}
 	a.e.refresh([]admission.Demand{{Target: a.in.target.name}})
@@ -185,7 +185,7 @@
 }
 
 func (a *attempts) done(c routing.Candidate, r routing.Result) {
-	a.e.table.Done(time.Now(), c, a.in.target.name, a.in.body, r)
+	a.e.table.RecordResult(time.Now(), c, a.in.target.name, a.in.body, r)
 }
 
 // failed decides whether another attempt follows a failed one.
@@ -201,10 +201,10 @@
 	} else {
 		a.exclude[chosen.Server] = true
 	}
-	a.paid = a.e.budget.Spend()
+	a.paid = a.e.budget.TryWithdraw()
 	if !a.paid {
 		return true, false, refusal.New(refusal.BackendFailed, "server %q failed and no retry is left: %v", chosen.Server, err).
-			After(time.Second)
+			WithRetryAfter(time.Second)
 	}
 	a.e.cfg.Log.V(1).Info("attempt failed", "server", chosen.Server, "reason", err.Error())
 	return false, false, nil
@@ -222,7 +222,7 @@
 		a.e.brokeOff(ctx, a.in, chosen, err)
 		return a.failed(ctx, chosen, err)
 	}
-	a.e.guard.RanWhole(a.in.subject())
+	a.e.guard.AttemptCompleted(a.in.subject())
 	a.e.cfg.Metrics.FirstByte(a.in.kind, time.Since(a.in.began), a.cold)
 	copyHeader(c.Response().Header(), reply.Header())
 	c.Response().Header().Set(routing.HeaderRequestID, a.in.id)
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -34,8 +34,8 @@
 	r.POST("/v1/plans/:number/reject", func(c echo.Context) error { return e.decide(c, false) })
 	r.POST("/v1/servers/:name/forget", e.forget)
 	r.GET("/v1/status", e.status)
-	operator.AddSuspects(r, operator.SuspectsConfig{
-		List: e.guard.Book().List, Release: e.guard.Clear, Log: e.cfg.Log.WithName("quarantine"),
+	operator.RegisterSuspects(r, operator.SuspectsConfig{
+		List: e.guard.Suspects().List, Release: e.guard.Clear, Log: e.cfg.Log.WithName("quarantine"),
 	})
 	return r
 }
@@ -114,8 +114,8 @@
 
 // controlRefusal tells an operator whether the command can have been taken.
 func controlRefusal(err error) *refusal.Refusal {
-	r := refusal.New(refusal.NoLeader, "%v", err).After(time.Second)
-	if errors.Is(err, control.ErrUncertain) {
+	r := refusal.New(refusal.NoLeader, "%v", err).WithRetryAfter(time.Second)
+	if errors.Is(err, control.ErrOutcomeUnknown) {
 		return r.WithOutcome(refusal.Unknown)
 	}
 	return r
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -29,7 +29,7 @@
 			return
 		case <-timer.C:
 		case <-e.kick:
-		case <-e.heard.Kick():
+		case <-e.heard.ReportDue():
 		}
 		next := reportEvery
 		if e.tell(&told) {
@@ -46,11 +46,11 @@
 func (e *Entry) tell(told *string) bool {
 	// A leader that took over has heard nothing from this entry yet.
 	if leader := e.cfg.Control.Leader(); leader != *told {
-		e.heard.Forget()
+		e.heard.MarkAllUnreported()
 		*told = leader
 	}
 	now := time.Now()
-	queues := e.gate.Demands()
+	queues := e.gate.TakeDemands()
 	announcements := e.heard.Unreported(now)
 	ctx, cancel := context.WithTimeout(context.Background(), reportWait)
 	defer cancel()
@@ -63,10 +63,10 @@
 		return true
 	}
 	if leader := e.cfg.Control.Leader(); leader != *told {
-		e.heard.Forget()
+		e.heard.MarkAllUnreported()
 		*told = leader
 	} else {
-		e.heard.Reported(announcements)
+		e.heard.MarkReported(announcements)
 	}
 	e.forecasts.set(time.Now(), reply.GetForecasts())
 	e.refresh(queues)
@@ -83,10 +83,10 @@
 	for _, q := range queues {
 		d := &schema.Demand{
 			Target: q.Target, Waiting: uint32(q.Waiting), Running: uint32(q.Running),
-			Arrived: uint32(q.Arrived), Priority: q.Priority, Returning: uint32(q.Returning),
+			Arrived: uint32(q.Arrived), Priority: q.Priority, Returning: uint32(q.ExpectedRetries),
 		}
-		if !q.First.IsZero() {
-			d.FirstDeadlineMs = q.First.Sub(now).Milliseconds()
+		if !q.EarliestDeadline.IsZero() {
+			d.FirstDeadlineMs = q.EarliestDeadline.Sub(now).Milliseconds()
 		}
 		out = append(out, d)
 	}
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -73,7 +73,7 @@
 	if in.key == "" {
 		return r
 	}
-	return claim.Honest(r, in.first)
+	return claim.UnknownUnlessFirst(r, in.first)
 }
 
 // unrepeatable serves a request that must not run twice: claimed, then queued,
@@ -81,7 +81,7 @@
 func (e *Entry) unrepeatable(c echo.Context, in *incoming) error {
 	if in.key == "" {
 		return e.refuse(c, in, refusal.New(refusal.KeyMissing,
-			"a %s request needs a header %s that names it across resends", c.Request().Method, HeaderKey))
+			"a %s request needs a header %s that names it across resends", c.Request().Method, HeaderIdempotencyKey))
 	}
 	q := c.Request()
 	grant, kept, refused := e.keeper.Begin(q.Context(), claim.Request{
@@ -118,7 +118,7 @@
 	case <-timer.C:
 		return e.refuse(c, in, refusal.New(refusal.OutcomeUnknown,
 			"the deadline passed while the request was under way; send it again with the same key to learn its outcome").
-			WithOutcome(refusal.Unknown).After(time.Second))
+			WithOutcome(refusal.Unknown).WithRetryAfter(time.Second))
 	}
 }
 
@@ -153,10 +153,10 @@
 		return
 	}
 	served := false
-	defer func() { ticket.Leave(served) }()
+	defer func() { ticket.Release(served) }()
 	exclude := map[string]bool{}
 	for {
-		if refused := <-ticket.Verdict(); refused != nil {
+		if refused := <-ticket.Decision(); refused != nil {
 			r.notRun(refused)
 			return
 		}
@@ -171,7 +171,7 @@
 				r.notRun(refused)
 				return
 			}
-			ticket.Again()
+			ticket.Requeue()
 			continue
 		}
 		proof, answer, err := r.send(ctx, chosen)
@@ -179,7 +179,7 @@
 			// Proved: another server may be tried, under the same claim.
 			e.cfg.Metrics.Retry()
 			exclude[chosen.Server] = true
-			ticket.Again()
+			ticket.Requeue()
 			continue
 		}
 		served = answer != nil
@@ -197,8 +197,8 @@
 func (r *claimedRun) wait(exclude map[string]bool) *refusal.Refusal {
 	if len(exclude) > 0 {
 		clear(exclude)
-		if !r.e.budget.Spend() {
-			return refusal.New(refusal.BackendFailed, "every server refused").After(time.Second)
+		if !r.e.budget.TryWithdraw() {
+			return refusal.New(refusal.BackendFailed, "every server refused").WithRetryAfter(time.Second)
 		}
 	}
 	r.e.refresh([]admission.Demand{{Target: r.in.target.name}})
@@ -217,10 +217,10 @@
 	ctx, span := e.cfg.Tracer.Start(ctx, "dispatch")
 	defer span.End()
 	call := e.call(ctx, r.request, r.in, to)
-	call.Fresh = true
+	call.NewConnection = true
 	reply, err := e.sender.Send(ctx, call)
 	if err != nil {
-		e.table.Done(time.Now(), to, r.in.target.name, r.in.body, routing.Result{Reported: -1})
+		e.table.RecordResult(time.Now(), to, r.in.target.name, r.in.body, routing.Result{Reported: -1})
 		e.brokeOff(ctx, r.in, to, err)
 		if errors.Is(err, routing.ErrNotRun) {
 			return refusal.NotRun, nil, err
@@ -229,11 +229,11 @@
 	}
 	defer reply.Close()
 	if reply.NotRun() {
-		e.table.Done(time.Now(), to, r.in.target.name, r.in.body, routing.Result{OK: true, Reported: reply.Outstanding()})
+		e.table.RecordResult(time.Now(), to, r.in.target.name, r.in.body, routing.Result{OK: true, Reported: reply.Outstanding()})
 		return refusal.NotRun, nil, nil
 	}
 	body, err := reply.ReadAll(maxAnswerBytes)
-	e.table.Done(time.Now(), to, r.in.target.name, r.in.body, routing.Result{
+	e.table.RecordResult(time.Now(), to, r.in.target.name, r.in.body, routing.Result{
 		OK: err == nil, FirstByte: reply.FirstByte(), Reported: reply.Outstanding(),
 	})
 	if err != nil {
@@ -241,7 +241,7 @@
 		// The server answered, so it ran; the answer is not whole.
 		return refusal.Ran, nil, err
 	}
-	e.guard.RanWhole(r.in.subject())
+	e.guard.AttemptCompleted(r.in.subject())
 	return refusal.Ran, &schema.Answer{
 		Status: uint32(reply.Status()), ContentType: reply.Header().Get("Content-Type"), Body: body,
 	}, nil
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -95,7 +95,7 @@
 		v := &schema.ModelView{
 			Name: m.GetName(), Base: m.GetBase(), MinReplicas: m.GetMinReplicas(), MaxReplicas: m.GetMaxReplicas(),
 		}
-		held := r.ReservationsOf(m.GetName())
+		held := r.ReservationsForTarget(m.GetName())
 		for _, res := range held {
 			switch res.GetState() {
 			case schema.ReservationState_RESERVATION_STATE_LOADED:
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -88,7 +88,7 @@
 		OK: err == nil || ctx.Err() != nil, FirstByte: reply.FirstByte(), Reported: reply.Outstanding(),
 	})
 	if err == nil {
-		a.e.guard.RanWhole(a.in.subject())
+		a.e.guard.AttemptCompleted(a.in.subject())
 		return true, true, nil
 	}
 	if !s.began {
@@ -156,7 +156,7 @@
 func (s *streamCopy) resume(ctx context.Context, call routing.Call) error {
 	call.Header = call.Header.Clone()
 	call.Header.Set("Last-Event-ID", strconv.FormatUint(s.lastID, 10))
-	call.Fresh = true
+	call.NewConnection = true
 	reply, err := s.a.e.sender.Send(ctx, call)
 	if err != nil {
 		return errors.Newf("resume: %w", err)
@@ -173,7 +173,7 @@
 func (s *streamCopy) cut(err error) {
 	r := refusal.New(refusal.StreamCut, "the stream broke: %v", err).WithOutcome(refusal.Unknown)
 	s.a.e.cfg.Metrics.Refusal(r.Code().String(), r.Outcome().String())
-	data, merr := protojson.Marshal(r.Reply(s.a.in.id))
+	data, merr := protojson.Marshal(r.ErrorReply(s.a.in.id))
 	if merr != nil {
 		return
 	}
--- a/internal/entry/supply.go
+++ b/internal/entry/supply.go
@@ -87,7 +87,7 @@
 	}
 	m := r.Model(name)
 	var out []routing.Candidate
-	for _, res := range r.ReservationsOf(name) {
+	for _, res := range r.ReservationsForTarget(name) {
 		s := r.Server(res.GetServer())
 		// A replica of another version would answer under a configuration that
 		// is no longer in force.
@@ -109,40 +109,40 @@
 func (e *Entry) candidate(s *schema.Server) routing.Candidate {
 	return routing.Candidate{
 		Server: s.GetName(), Incarnation: s.GetIncarnation(), Address: s.GetAddress(),
-		Near: s.GetDataCentre() == e.cfg.Self.GetDataCentre(),
+		SameDataCentre: s.GetDataCentre() == e.cfg.Self.GetDataCentre(),
 	}
 }
 
 // supply tells the gate what stands ready.
-func (e *Entry) supply(name string, candidates int, isService bool) admission.Supply {
+func (e *Entry) supply(name string, candidates int, isService bool) admission.Capacity {
 	limit := int(e.cfg.Settings.GetEntry().GetReplicaLimit())
 	if candidates > 0 {
-		return admission.Supply{Slots: candidates * limit, Known: true}
+		return admission.Capacity{Slots: candidates * limit, Known: true}
 	}
 	if isService {
-		return admission.Supply{Known: true, ReadyIn: -1, Reason: "no application server of " + name + " is there"}
+		return admission.Capacity{Known: true, ReadyIn: -1, Reason: "no application server of " + name + " is there"}
 	}
 	now := time.Now()
 	f, ok := e.forecasts.of(now, name)
 	if !ok {
-		return admission.Supply{}
+		return admission.Capacity{}
 	}
 	if f.never {
-		return admission.Supply{Known: true, ReadyIn: -1, Reason: f.reason}
+		return admission.Capacity{Known: true, ReadyIn: -1, Reason: f.reason}
 	}
-	return admission.Supply{Known: true, ReadyIn: max(f.ready.Sub(now), 0), Expected: limit}
+	return admission.Capacity{Known: true, ReadyIn: max(f.ready.Sub(now), 0), ExpectedSlots: limit}
 }
 
 // refresh gives the gate the present supply of every queue in use.
 func (e *Entry) refresh(queues []admission.Demand) {
-	supplies := map[string]admission.Supply{}
+	supplies := map[string]admission.Capacity{}
 	e.cfg.Replica.View(func(r *ledger.Records) {
 		for _, q := range queues {
 			supplies[q.Target] = e.supply(q.Target, len(e.candidates(r, q.Target)), r.Service(q.Target) != nil)
 		}
 	})
 	for t, s := range supplies {
-		e.gate.SetSupply(t, s)
+		e.gate.SetCapacity(t, s)
 	}
 }
 
--- a/internal/gateway/access.go
+++ b/internal/gateway/access.go
@@ -34,7 +34,7 @@
 		return true
 	}
 	now := time.Now()
-	cost := quota.Cost(t.GetQuota(), float64(x.call.PromptTokens)+float64(x.call.OutputTokens), x.call.TokensTold)
+	cost := quota.Cost(t.GetQuota(), float64(x.call.PromptTokens)+float64(x.call.OutputTokens), x.call.TokensDeclared)
 	fresh := now.Sub(x.g.attend.confirmedAt()) < unconfirmedAfter
 	after, ok := x.g.quotas.Admit(t, cost, fresh, x.g.entryCount(), now)
 	if !ok {
@@ -54,7 +54,7 @@
 	if teams.Empty() {
 		return true
 	}
-	x.access.team = teams.Find(x.call.Caller)
+	x.access.team = teams.Find(x.call.APIKey)
 	if x.route.GetAnonymous() {
 		return true
 	}
@@ -81,9 +81,9 @@
 	return g.cfg.KeyRevocation == 0 || age <= g.cfg.KeyRevocation
 }
 
-// KeyHolds reports whether an API key is a team's, by a configuration that is confirmed
+// AcceptsKey reports whether an API key is a team's, by a configuration that is confirmed
 // recently enough.
-func (g *Gateway) KeyHolds(key string) bool {
+func (g *Gateway) AcceptsKey(key string) bool {
 	// See authenticate for the order.
 	age := time.Since(g.attend.confirmedAt())
 	t := g.table.Load()
@@ -93,13 +93,13 @@
 // mayResume reports whether the caller's key still holds for another run of a stream.
 func (x *exchange) mayResume() bool {
 	team := x.access.team
-	return team == nil || x.route.GetAnonymous() || x.g.KeyHolds(x.call.Caller)
+	return team == nil || x.route.GetAnonymous() || x.g.AcceptsKey(x.call.APIKey)
 }
 
 // release gives back what a request was counted that did not run.
 func (x *exchange) release() {
 	if x.access.cost > 0 && x.runs <= 0 {
-		x.g.quotas.Return(x.teamName(), x.access.cost, time.Now())
+		x.g.quotas.Refund(x.teamName(), x.access.cost, time.Now())
 	}
 }
 
--- a/internal/gateway/access_test.go
+++ b/internal/gateway/access_test.go
@@ -47,7 +47,7 @@
 
 func newKeyedBed(t *testing.T, teams []*schema.Team, backends ...*backend) *bed {
 	t.Helper()
-	bed := newBedOf(t, gateway.BudgetConfig{Ratio: 0.2, Window: 10 * time.Millisecond, Slack: 100}, logr.Discard(), backends...)
+	bed := newBedOf(t, gateway.RetryBudgetConfig{Ratio: 0.2, Window: 10 * time.Millisecond, Burst: 100}, logr.Discard(), backends...)
 	bed.g.Configure(withTeams(2, teams...))
 	bed.g.Confirm(0)
 	return bed
--- a/internal/gateway/attend.go
+++ b/internal/gateway/attend.go
@@ -11,7 +11,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/protobuf/proto"
 
-	"fennelyard/internal/logbook"
+	"fennelyard/internal/asynclog"
 	"fennelyard/internal/quarantine"
 	"fennelyard/internal/roster"
 	"fennelyard/internal/schema"
@@ -140,7 +140,7 @@
 	case errors.Is(err, errNotLeader), errors.Is(err, errEarlierTerm):
 		return max(a.hosts.pause()-nextPause, refusedPause)
 	case errors.Is(err, errHostSilent):
-		a.g.cfg.Dialer.Renew(address)
+		a.g.cfg.Dialer.Reset(address)
 	}
 	if lost {
 		return refusedPause
@@ -152,12 +152,12 @@
 // found: the control hosts are tried many times a second.
 func (a *attendant) logEnd(address string, err error) {
 	if a.found {
-		a.g.cfg.Log.Info("control host left", "address", address, "error", logbook.Text(err))
+		a.g.cfg.Log.Info("control host left", "address", address, "error", asynclog.ErrorText(err))
 		return
 	}
 	if time.Since(a.told) > time.Second {
 		a.told = time.Now()
-		a.g.cfg.Log.Info("no control host found", "asked", address, "error", logbook.Text(err))
+		a.g.cfg.Log.Info("no control host found", "asked", address, "error", asynclog.ErrorText(err))
 	}
 }
 
@@ -287,7 +287,7 @@
 func (a *attendant) speak(ctx context.Context, stream grpc.BidiStreamingClient[schema.EntryNews, schema.LeaderNews], news *schema.EntryNews) {
 	ticker := time.NewTicker(speakEvery)
 	defer ticker.Stop()
-	suspects := a.g.guard.Book().Reader(quarantine.PartNoted)
+	suspects := a.g.guard.Suspects().Reader(quarantine.PartNoted)
 	for due := true; ; {
 		news.Suspects = suspects.Next()
 		news.Stopping = a.g.stopping.Load()
@@ -365,7 +365,7 @@
 		a.hosts.named = l.GetHosts()
 	}
 	// Before the configuration, with which an entry that has just started begins to serve.
-	a.g.guard.Book().Take(news.GetSuspects(), true)
+	a.g.guard.Suspects().Merge(news.GetSuspects(), true)
 	c, err := changesOf(news)
 	if err != nil {
 		// The host takes them for told; only a new stream brings them again.
@@ -381,7 +381,7 @@
 		a.g.fleet.hear(l.GetLoads())
 	}
 	if u := news.GetTeamUses(); u != nil {
-		a.g.quotas.Learn(u)
+		a.g.quotas.SetTotals(u)
 	}
 	if l := news.GetEntries(); l != nil {
 		a.g.setEntries(l.GetEntries())
--- a/internal/gateway/attend_test.go
+++ b/internal/gateway/attend_test.go
@@ -35,7 +35,7 @@
 	t.Cleanup(dialer.Close)
 	return gateway.New(gateway.Config{
 		Self: &schema.RosterEntry{Host: "e", CallerAddress: "127.0.0.1:1"}, Seeds: func() []string { return seeds }, Dialer: dialer,
-		Replica: ledger.NewReplica(), Sender: relay.NewSender(relay.Config{}), Codec: codec(), Log: logr.Discard(), Requests: logr.Discard(),
+		Replica: ledger.NewReplica(), Sender: relay.NewSender(relay.Config{}), Codec: codec(), Log: logr.Discard(), RequestLog: logr.Discard(),
 	})
 }
 
--- a/internal/gateway/backlog.go
+++ b/internal/gateway/backlog.go
@@ -17,7 +17,7 @@
 	waits bool
 }
 
-func (f *fleet) backlog(s *server, c *Call) backlog {
+func (f *fleet) backlog(s *server, c *RequestInfo) backlog {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	o := f.seen(s.view.GetPool())
--- a/internal/gateway/backlog_test.go
+++ b/internal/gateway/backlog_test.go
@@ -28,7 +28,7 @@
 }
 
 type waitingCall struct {
-	call   *gateway.Call
+	call   *gateway.RequestInfo
 	came   int
 	unread float64
 }
@@ -54,7 +54,7 @@
 }
 
 func (o *overload) come(now int) {
-	c := &gateway.Call{Model: "m", PromptTokens: int(overloadPrompt * o.rate / 38)}
+	c := &gateway.RequestInfo{Model: "m", PromptTokens: int(overloadPrompt * o.rate / 38)}
 	if o.refuses && o.engines.TooLong(c, o.aim) {
 		o.turnedOff++
 		return
@@ -127,8 +127,8 @@
 	e := gateway.NewEngines(1)
 	e.Allow(600 * time.Millisecond)
 	e.Read(38)
-	long := &gateway.Call{Model: "m", PromptTokens: 18000}
-	longest := &gateway.Call{Model: "m", PromptTokens: 72000}
+	long := &gateway.RequestInfo{Model: "m", PromptTokens: 18000}
+	longest := &gateway.RequestInfo{Model: "m", PromptTokens: 72000}
 	require.False(t, e.TooLong(longest, time.Second))
 	e.Send(long)
 	require.False(t, e.TooLong(long, time.Second))
@@ -137,5 +137,5 @@
 	require.True(t, e.TooLong(long, time.Second))
 	require.False(t, e.TooLong(long, 2*time.Second))
 	require.False(t, e.TooLong(long, 0))
-	require.False(t, e.TooLong(&gateway.Call{Model: "m", PromptTokens: 700}, 800*time.Millisecond))
+	require.False(t, e.TooLong(&gateway.RequestInfo{Model: "m", PromptTokens: 700}, 800*time.Millisecond))
 }
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -9,12 +9,12 @@
 // go know each other's number with a delay.
 const budgetShare = 0.8
 
-// BudgetConfig bounds the dispatches of all entries beyond the first of each
+// RetryBudgetConfig bounds the dispatches of all entries beyond the first of each
 // request: in any window, ratio of the requests plus slack.
-type BudgetConfig struct {
+type RetryBudgetConfig struct {
 	Ratio  float64
 	Window time.Duration
-	Slack  int
+	Burst  int
 }
 
 // budget is this entry's part of the allowance for one pool. A request earns
@@ -22,17 +22,17 @@
 // once and the other to come in over a window, so that no window sees more than
 // the whole. It starts empty: the entry that ran here before may have spent all.
 type budget struct {
-	cfg BudgetConfig
+	cfg RetryBudgetConfig
 
 	mu    sync.Mutex
 	left  float64
 	asked time.Time
 }
 
-func newBudget(cfg BudgetConfig, now time.Time) *budget { return &budget{cfg: cfg, asked: now} }
+func newBudget(cfg RetryBudgetConfig, now time.Time) *budget { return &budget{cfg: cfg, asked: now} }
 
 func (b *budget) cap(entries int) float64 {
-	return budgetShare * float64(b.cfg.Slack) / 2 / float64(max(entries, 1))
+	return budgetShare * float64(b.cfg.Burst) / 2 / float64(max(entries, 1))
 }
 
 func (b *budget) grow(now time.Time, entries int) {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-// Part is a part of a prompt that requests share; an engine that keeps it need
+// PromptPart is a part of a prompt that requests share; an engine that keeps it need
 // not read it again.
-type Part struct {
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
 
-// Call is what a caller's request says of itself.
-type Call struct {
+// RequestInfo is what a caller's request says of itself.
+type RequestInfo struct {
 	// ID names this attempt of the caller.
 	ID string
-	// Caller is the API key of the caller's team, empty for none.
-	Caller string
-	// Wait is how long the caller will wait; 0: not told.
-	Wait time.Duration
+	// APIKey is the API key of the caller's team, empty for none.
+	APIKey string
+	// Timeout is how long the caller will wait; 0: not told.
+	Timeout time.Duration
 	// Model is empty for requests to plain services; Adapter may be empty.
-	Model   string
-	Adapter string
-	Parts   []Part
+	Model       string
+	Adapter     string
+	PromptParts []PromptPart
 	// PromptTokens and OutputTokens are 0 where they are not told.
 	PromptTokens int
 	OutputTokens int
-	// TokensTold is set where the request declares its tokens.
-	TokensTold bool
-	// After is the last event that the caller has of an earlier answer; 0: none.
-	After int64
+	// TokensDeclared is set where the request declares its tokens.
+	TokensDeclared bool
+	// LastEventID is the last event that the caller has of an earlier answer; 0: none.
+	LastEventID int64
 }
 
-// Mark is what a request carries to a backend server.
-type Mark struct {
+// ForwardInfo is what a request carries to a backend server.
+type ForwardInfo struct {
 	// Server is the id of the server that the request is for.
-	Server string
-	Left   time.Duration
-	// After is the last event that need not be sent again; 0: all are wanted.
-	After int64
-	// Urgency is 0 for the most urgent requests, at most 9.
-	Urgency int
+	Server  string
+	Timeout time.Duration
+	// LastEventID is the last event that need not be sent again; 0: all are wanted.
+	LastEventID int64
+	// Priority is 0 for the most urgent requests, at most 9.
+	Priority int
 	// Team is the name of the caller's team, empty for none.
 	Team string
 }
 
-// Verdict is what the header of a backend server's answer proves.
-type Verdict struct {
+// ResponseInfo is what the header of a backend server's answer proves.
+type ResponseInfo struct {
 	// NotRun is set where the server says that the request did not run there.
 	NotRun bool
-	// Elsewhere is set where the server is another one than was meant, or does
+	// Misdirected is set where the server is another one than was meant, or does
 	// not hold the model.
-	Elsewhere bool
+	Misdirected bool
 	// Signed is set where the answer was made by the server's service.
 	Signed bool
 }
@@ -60,8 +60,8 @@
 // Codec reads and writes the headers in which callers, this system and backend
 // servers tell each other of a request. All functions are required.
 type Codec struct {
-	Read  func(*http.Request) Call
-	Mark  func(http.Header, Mark)
-	Own   func(answer http.Header, id string) bool
-	Judge func(status int, answer http.Header) Verdict
+	ParseRequest     func(*http.Request) RequestInfo
+	SetForwardHeader func(http.Header, ForwardInfo)
+	MatchesRequest   func(answer http.Header, id string) bool
+	ParseResponse    func(status int, answer http.Header) ResponseInfo
 }
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -21,7 +21,7 @@
 
 // choose returns the best server for a call, or nil when none can serve it.
 // Servers in not are passed over; those that failed lately go last.
-func (f *fleet) choose(pool string, c *Call, not []string, now time.Time, random func(int) int) *server {
+func (f *fleet) choose(pool string, c *RequestInfo, not []string, now time.Time, random func(int) int) *server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var able []*server
@@ -73,7 +73,7 @@
 // long ones the rest, so that reading the long ones does not hold up the events
 // of the short. A request of the other sort comes only when its own part is much
 // busier.
-func otherPart(able []*server, c *Call, o *observed) map[*server]bool {
+func otherPart(able []*server, c *RequestInfo, o *observed) map[*server]bool {
 	if len(able) < 2 || !o.apart() {
 		return nil
 	}
@@ -96,7 +96,7 @@
 // them since their last word nothing is known; it is taken for spread at random.
 // Otherwise all entries send their requests to the engine that was least busy by that
 // word: with 68 entries before engines of 12 slots the busiest had six times the mean.
-func (f *fleet) cheapest(able []*server, c *Call, o *observed, now time.Time, random func(int) int) *server {
+func (f *fleet) cheapest(able []*server, c *RequestInfo, o *observed, now time.Time, random func(int) int) *server {
 	key := affinity(c)
 	other, long := otherPart(able, c, o), o.isLong(c)
 	rate, rankCost := o.readRate(), o.shared(c)/spreadAfter
@@ -136,14 +136,14 @@
 const randomSteps = 1024
 
 // affinity names what a call shares with others: the part before its own.
-func affinity(c *Call) string {
-	switch n := len(c.Parts); n {
+func affinity(c *RequestInfo) string {
+	switch n := len(c.PromptParts); n {
 	case 0:
 		return c.Model
 	case 1:
-		return c.Model + "/" + c.Parts[0].ID
+		return c.Model + "/" + c.PromptParts[0].ID
 	default:
-		return c.Model + "/" + c.Parts[n-2].ID
+		return c.Model + "/" + c.PromptParts[n-2].ID
 	}
 }
 
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -11,14 +11,14 @@
 	"fennelyard/internal/schema"
 )
 
-func long(part string) *gateway.Call {
-	return &gateway.Call{Model: "m", PromptTokens: 9000, Parts: []gateway.Part{
+func long(part string) *gateway.RequestInfo {
+	return &gateway.RequestInfo{Model: "m", PromptTokens: 9000, PromptParts: []gateway.PromptPart{
 		{ID: "all", Tokens: 2500}, {ID: part, Tokens: 3800}, {ID: "own" + part, Tokens: 2700},
 	}}
 }
 
-func short(part string) *gateway.Call {
-	return &gateway.Call{Model: "m", PromptTokens: 800, Parts: []gateway.Part{{ID: part, Tokens: 200}, {ID: "own" + part, Tokens: 600}}}
+func short(part string) *gateway.RequestInfo {
+	return &gateway.RequestInfo{Model: "m", PromptTokens: 800, PromptParts: []gateway.PromptPart{{ID: part, Tokens: 200}, {ID: "own" + part, Tokens: 600}}}
 }
 
 // Entries that have not met send what shares a prompt part to the same engine,
@@ -41,7 +41,7 @@
 	seen := map[string]bool{}
 	for i := range 8 {
 		c := long("hot")
-		c.Parts[2].ID = fmt.Sprint("own-", i)
+		c.PromptParts[2].ID = fmt.Sprint("own-", i)
 		seen[e.Send(c)] = true
 	}
 	require.Greater(t, len(seen), 2)
@@ -57,7 +57,7 @@
 		e.Among(entries, uint64(i))
 		for j := range 10 {
 			c := short("p")
-			c.Parts[1].ID = fmt.Sprint("own", j)
+			c.PromptParts[1].ID = fmt.Sprint("own", j)
 			if j < 9 {
 				e.Serve(c)
 				continue
@@ -154,7 +154,7 @@
 	for name, x := range map[string]struct {
 		every int
 		rate  float64
-		bulk  func(string) *gateway.Call
+		bulk  func(string) *gateway.RequestInfo
 		least int
 	}{
 		"no long prompt":       {every: 1 << 30, rate: 40, bulk: short, least: 6},
@@ -189,7 +189,7 @@
 }
 
 func TestFailedEngineGoesLast(t *testing.T) {
-	for _, c := range []*gateway.Call{long("p"), short("p")} {
+	for _, c := range []*gateway.RequestInfo{long("p"), short("p")} {
 		e := gateway.NewEngines(2)
 		first := e.Peek(c)
 		e.Fail(first)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -72,7 +72,7 @@
 	g      *Gateway
 	w      http.ResponseWriter
 	r      *http.Request
-	call   Call
+	call   RequestInfo
 	began  time.Time
 	random func(int) int
 
@@ -102,7 +102,7 @@
 	atOnce int
 	unread int
 	// guarded is the request as the guard knows it; nil: it was not needed yet.
-	guarded *quarantine.Subject
+	guarded *quarantine.KeyedRequest
 	// started is set once a byte of the answer has left.
 	started bool
 	status  int
@@ -161,8 +161,8 @@
 		return t
 	}
 	wait := startWait - x.began.Sub(x.g.began)
-	if x.call.Wait > 0 {
-		wait = min(wait, x.call.Wait/2)
+	if x.call.Timeout > 0 {
+		wait = min(wait, x.call.Timeout/2)
 	}
 	if wait <= 0 {
 		return nil
@@ -182,8 +182,8 @@
 // or nothing more may be done.
 func (x *exchange) serve() {
 	wait := time.Duration(x.route.GetTimeoutMs()) * time.Millisecond
-	if x.call.Wait > 0 && x.call.Wait < wait {
-		wait = x.call.Wait
+	if x.call.Timeout > 0 && x.call.Timeout < wait {
+		wait = x.call.Timeout
 	}
 	x.deadline = x.began.Add(wait)
 	ctx, cancel := context.WithDeadline(x.r.Context(), x.deadline)
@@ -206,7 +206,7 @@
 
 // step makes one attempt; it returns whether another one is due.
 func (x *exchange) step() bool {
-	x.g.guard.Await(x.ctx, x.subject())
+	x.g.guard.AwaitProbes(x.ctx, x.subject())
 	if !x.find() || x.heldBack() {
 		return false
 	}
@@ -289,7 +289,7 @@
 		return x.failed(s, err)
 	}
 	defer answer.Close()
-	verdict := x.g.cfg.Codec.Judge(answer.Status, answer.Header)
+	verdict := x.g.cfg.Codec.ParseResponse(answer.Status, answer.Header)
 	if verdict.NotRun {
 		x.paid = !patience.begin()
 		return x.notRun(s, answer, verdict)
@@ -306,14 +306,14 @@
 }
 
 func (x *exchange) request(left time.Duration, after int64) *relay.Request {
-	h := relay.PassedOn(x.r.Header)
-	x.g.cfg.Codec.Mark(h, Mark{
-		Server: x.server.server, Left: left, After: after, Urgency: x.urgency(), Team: x.teamName(),
+	h := relay.EndToEndHeader(x.r.Header)
+	x.g.cfg.Codec.SetForwardHeader(h, ForwardInfo{
+		Server: x.server.server, Timeout: left, LastEventID: after, Priority: x.urgency(), Team: x.teamName(),
 	})
 	id := x.call.ID
 	return &relay.Request{
 		Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host, Header: h, Body: x.body,
-		Own: func(a http.Header) bool { return x.g.cfg.Codec.Own(a, id) },
+		MatchesResponse: func(a http.Header) bool { return x.g.cfg.Codec.MatchesRequest(a, id) },
 	}
 }
 
@@ -366,13 +366,13 @@
 }
 
 // notRun deals with a server's word that it did not run the request.
-func (x *exchange) notRun(s *server, answer *relay.Answer, v Verdict) bool {
+func (x *exchange) notRun(s *server, answer *relay.Response, v ResponseInfo) bool {
 	x.cause = errors.Newf("server %s: status %d, not run", s.id, answer.Status)
-	if v.Elsewhere && x.call.Model != "" {
+	if v.Misdirected && x.call.Model != "" {
 		x.g.fleet.lacks(s, x.call.Model, x.call.Adapter, time.Now())
 		return x.timeLeft()
 	}
-	if !v.Elsewhere && x.call.Adapter != "" && x.attempts < adapterTries {
+	if !v.Misdirected && x.call.Adapter != "" && x.attempts < adapterTries {
 		// The adapter may still be on its way.
 		x.g.fleet.lacks(s, x.call.Model, x.call.Adapter, time.Now())
 		return x.timeLeft()
@@ -428,7 +428,7 @@
 
 // whole passes on an answer without events. It is read to its end first: a
 // broken one can still become another attempt or an honest failure.
-func (x *exchange) whole(s *server, answer *relay.Answer, v Verdict) bool {
+func (x *exchange) whole(s *server, answer *relay.Response, v ResponseInfo) bool {
 	body, err := io.ReadAll(answer.Body)
 	if err != nil {
 		return x.failedIn(s, err)
@@ -438,7 +438,7 @@
 		return x.failedIn(s, errors.Newf("status %d without a signature", answer.Status))
 	}
 	x.g.fleet.good(s)
-	x.g.guard.RanWhole(x.subject())
+	x.g.guard.AttemptCompleted(x.subject())
 	if answer.Status >= http.StatusInternalServerError && x.mayRepeatNow() {
 		x.cause = errors.Newf("server %s: status %d", s.id, answer.Status)
 		x.tried = append(x.tried, s.id)
@@ -478,9 +478,9 @@
 }
 
 // pass copies the header of a server's answer.
-func (x *exchange) pass(answer *relay.Answer) {
+func (x *exchange) pass(answer *relay.Response) {
 	h := x.w.Header()
-	for k, v := range relay.PassedOn(answer.Header) {
+	for k, v := range relay.EndToEndHeader(answer.Header) {
 		h[k] = v
 	}
 	// The server's own date stays, or none is made up.
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -69,22 +69,22 @@
 func (e *Engines) Hear(loads ...*schema.EngineLoad) { e.f.hear(loads) }
 
 // Send chooses an engine for a call and notes that it was sent there.
-func (e *Engines) Send(c *Call) string {
+func (e *Engines) Send(c *RequestInfo) string {
 	s := e.f.choose("p", c, nil, time.Now(), e.random)
 	e.f.begin(s, c)
 	return s.view.GetId()
 }
 
 // Able reports whether any engine can serve a call.
-func (e *Engines) Able(c *Call) bool {
+func (e *Engines) Able(c *RequestInfo) bool {
 	return e.f.choose("p", c, nil, time.Now(), e.random) != nil
 }
 
 // ToRead returns how many of a call's tokens an engine has to read, by its start's key.
-func (e *Engines) ToRead(key string, c *Call) int { return e.f.servers[key].uncached(c) }
+func (e *Engines) ToRead(key string, c *RequestInfo) int { return e.f.servers[key].uncached(c) }
 
 // Peek chooses an engine for a call.
-func (e *Engines) Peek(c *Call) string {
+func (e *Engines) Peek(c *RequestInfo) string {
 	return e.f.choose("p", c, nil, time.Now(), e.random).view.GetId()
 }
 
@@ -108,7 +108,7 @@
 func (e *Engines) Allow(gap time.Duration) { e.f.seen("p").gap = gap }
 
 // Serve sends a call and ends it.
-func (e *Engines) Serve(c *Call) {
+func (e *Engines) Serve(c *RequestInfo) {
 	s := e.f.choose("p", c, nil, time.Now(), e.random)
 	tokens, _, _ := e.f.begin(s, c)
 	e.f.read(s, tokens)
@@ -231,7 +231,7 @@
 
 // TooLong reports whether a call with an aim is refused, as the engine that it would be
 // sent to has too much to read.
-func (e *Engines) TooLong(c *Call, aim time.Duration) bool {
+func (e *Engines) TooLong(c *RequestInfo, aim time.Duration) bool {
 	return e.f.backlog(e.f.choose("p", c, nil, time.Now(), e.random), c).tooLong(aim)
 }
 
@@ -240,13 +240,13 @@
 func (e *Engines) HasRead(id string, tokens int) { e.f.read(e.f.servers[id], tokens) }
 
 // End notes that a call has ended at an engine.
-func (e *Engines) End(id string, c *Call) { e.f.end(e.f.servers[id], c, 0) }
+func (e *Engines) End(id string, c *RequestInfo) { e.f.end(e.f.servers[id], c, 0) }
 
 // Suspected returns how many servers have ended, as far as this entry has found, under the
 // request under which most have.
 func (g *Gateway) Suspected() int {
 	most := 0
-	list, _ := g.guard.Book().Since(0, quarantine.PartAll)
+	list, _ := g.guard.Suspects().Since(0, quarantine.PartAll)
 	for _, s := range list {
 		most = max(most, len(s.GetEnded()))
 	}
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -105,9 +105,9 @@
 // leader that never knew them does not say so. mu is held.
 func (f *fleet) add(s *server) {
 	if f.starts[s.server] > 0 {
-		born := incarnation.Parse(s.id).Born
+		born := incarnation.Parse(s.id).StartMs
 		for id, old := range f.servers {
-			if old.server == s.server && incarnation.Parse(id).Born < born {
+			if old.server == s.server && incarnation.Parse(id).StartMs < born {
 				f.remove(id)
 			}
 		}
@@ -133,7 +133,7 @@
 func (f *fleet) drop(key string) {
 	f.remove(key)
 	name := incarnation.Parse(key)
-	if name.Born != 0 || f.starts[name.Server] == 0 {
+	if name.StartMs != 0 || f.starts[name.Server] == 0 {
 		return
 	}
 	for id, s := range f.servers {
@@ -215,7 +215,7 @@
 // begin notes that a request is about to be sent. It returns how many of its
 // tokens the server has to read, and what was there before: requests of
 // this entry, and tokens of all entries that are not read.
-func (f *fleet) begin(s *server, c *Call) (tokens, running, unread int) {
+func (f *fleet) begin(s *server, c *RequestInfo) (tokens, running, unread int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	tokens, running, unread = s.uncached(c), s.running, s.unread+s.others.unread
@@ -266,7 +266,7 @@
 }
 
 // end notes that a request is over there, and for how long it was.
-func (f *fleet) end(s *server, c *Call, took time.Duration) {
+func (f *fleet) end(s *server, c *RequestInfo, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if c.Model != "" {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,34 +26,34 @@
 	// Seeds returns the peer addresses of a few control hosts.
 	Seeds func() []string
 	// Dialer is not closed by the gateway.
-	Dialer  *peer.Dialer
-	Replica *ledger.Replica
-	Sender  *relay.Sender
-	Codec   Codec
-	Budget  BudgetConfig
+	Dialer      *peer.Dialer
+	Replica     *ledger.Replica
+	Sender      *relay.Sender
+	Codec       Codec
+	RetryBudget RetryBudgetConfig
 	// KeyRevocation is how long after its removal an API key may still be accepted; 0: not
 	// bounded.
 	KeyRevocation time.Duration
 	// QuotaWindow is the window over which teams' quotas are counted.
 	QuotaWindow time.Duration
 	// Log takes changes of what is believed, Requests one line for each request.
-	Log      logr.Logger
-	Requests logr.Logger
-	// Served, where set, is told of each request's end.
-	Served func(Served)
+	Log        logr.Logger
+	RequestLog logr.Logger
+	// OnRequestDone, where set, is told of each request's end.
+	OnRequestDone func(RequestStats)
 }
 
-// Served is how a request ended, for metrics.
-type Served struct {
-	// Kind is the sort of route: stream or whole, with what may be repeated.
-	Kind string
+// RequestStats is how a request ended, for metrics.
+type RequestStats struct {
+	// RouteKind is the sort of route: stream or whole, with what may be repeated.
+	RouteKind string
 	// Team is the caller's team, empty for none.
-	Team     string
-	Outcome  Outcome
-	Status   int
-	Took     time.Duration
-	First    time.Duration
-	Attempts int
+	Team            string
+	Outcome         Outcome
+	Status          int
+	Duration        time.Duration
+	TimeToFirstByte time.Duration
+	Attempts        int
 }
 
 // Gateway serves callers' requests. All methods are safe from any goroutine.
@@ -100,7 +100,7 @@
 	g.attend = newAttendant(g)
 	g.quotas = quota.NewMeter(quota.MeterConfig{Window: cfg.QuotaWindow, Random: rand.Float64}, g.began)
 	g.guard = quarantine.NewGuard(quarantine.GuardConfig{
-		Entry: cfg.Self.GetCallerAddress(), Presence: cfg.Sender.Presence, Changed: g.speakSoon, Log: cfg.Log,
+		Entry: cfg.Self.GetCallerAddress(), Probe: cfg.Sender.Probe, OnChange: g.speakSoon, Log: cfg.Log,
 	})
 	g.ended, g.end = context.WithCancel(context.Background())
 	go func() {
@@ -114,10 +114,10 @@
 // the gateway does not prepare to stop.
 func (g *Gateway) Ready() bool { return g.table.Load() != nil && !g.stopping.Load() }
 
-// Stopping tells the leader, and with it all entries, to send callers here no
+// StartDraining tells the leader, and with it all entries, to send callers here no
 // longer. Requests are served on, but none is sent to a server after sendBy: what
 // still waits then is refused as not run, and another entry can take it.
-func (g *Gateway) Stopping(sendBy time.Time) {
+func (g *Gateway) StartDraining(sendBy time.Time) {
 	g.sendBy.Store(&sendBy)
 	g.stopping.Store(true)
 	g.speakSoon()
@@ -134,9 +134,9 @@
 // InFlight returns the number of requests at hand.
 func (g *Gateway) InFlight() int { return int(g.inFlight.Load()) }
 
-// End gives every request its final answer at once, whatever its server does.
+// AbortRequests gives every request its final answer at once, whatever its server does.
 // Answers that are under way break off.
-func (g *Gateway) End() { g.end() }
+func (g *Gateway) AbortRequests() { g.end() }
 
 // Close ends the stream to the leader.
 func (g *Gateway) Close() {
@@ -161,17 +161,17 @@
 	HeldBack int
 	// LeaderAge is how long ago the leader spoke; negative: never.
 	LeaderAge time.Duration
-	// Host is the control host that tells this entry what the leader says, "": none, and
+	// ControlHost is the control host that tells this entry what the leader says, "": none, and
 	// Streams counts the streams to such hosts.
-	Host    string
-	Streams uint64
+	ControlHost   string
+	Subscriptions uint64
 }
 
 // State returns what the gateway believes.
 func (g *Gateway) State() State {
 	s := State{
-		Servers: g.fleet.count(), Ready: g.fleet.readyCount(), Entries: g.entryCount(), Waiting: g.asked.waitingCount(), HeldBack: g.guard.Book().HeldCount(), LeaderAge: g.attend.age(),
-		Host: g.attend.attended(), Streams: g.attend.streams.Load(),
+		Servers: g.fleet.count(), Ready: g.fleet.readyCount(), Entries: g.entryCount(), Waiting: g.asked.waitingCount(), HeldBack: g.guard.Suspects().HeldBackCount(), LeaderAge: g.attend.age(),
+		ControlHost: g.attend.attended(), Subscriptions: g.attend.streams.Load(),
 	}
 	if t := g.table.Load(); t != nil {
 		s.Version = int64(t.version)
@@ -264,7 +264,7 @@
 	if b == nil {
 		// It grows from the start on, not from the first request, which could not be sent
 		// again.
-		b = newBudget(g.cfg.Budget, g.began)
+		b = newBudget(g.cfg.RetryBudget, g.began)
 		g.budgets[pool] = b
 	}
 	return b
@@ -286,7 +286,7 @@
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	x := &exchange{g: g, w: w, r: r, began: time.Now(), random: rand.IntN}
-	x.call = g.cfg.Codec.Read(r)
+	x.call = g.cfg.Codec.ParseRequest(r)
 	defer x.finish()
 	if x.open() {
 		x.serve()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -28,24 +28,24 @@
 // codec is a small one of the tests' own.
 func codec() gateway.Codec {
 	return gateway.Codec{
-		Read: func(r *http.Request) gateway.Call {
+		ParseRequest: func(r *http.Request) gateway.RequestInfo {
 			ms, _ := strconv.Atoi(r.Header.Get("X-Wait"))
-			return gateway.Call{
-				ID: r.Header.Get("X-Id"), Caller: r.Header.Get("X-Key"), Model: r.Header.Get("X-Model"), Wait: time.Duration(ms) * time.Millisecond,
+			return gateway.RequestInfo{
+				ID: r.Header.Get("X-Id"), APIKey: r.Header.Get("X-Key"), Model: r.Header.Get("X-Model"), Timeout: time.Duration(ms) * time.Millisecond,
 			}
 		},
-		Mark: func(h http.Header, m gateway.Mark) {
+		SetForwardHeader: func(h http.Header, m gateway.ForwardInfo) {
 			h.Set("X-For", m.Server)
 			h.Set("X-Team", m.Team)
-			h.Set("X-Left", strconv.FormatInt(m.Left.Milliseconds(), 10))
-			if m.After > 0 {
-				h.Set("X-After", strconv.FormatInt(m.After, 10))
+			h.Set("X-Left", strconv.FormatInt(m.Timeout.Milliseconds(), 10))
+			if m.LastEventID > 0 {
+				h.Set("X-After", strconv.FormatInt(m.LastEventID, 10))
 			}
 		},
-		Own: func(a http.Header, id string) bool { return a.Get("X-Id") == id },
-		Judge: func(status int, a http.Header) gateway.Verdict {
-			return gateway.Verdict{
-				NotRun: a.Get("X-Not-Run") != "", Elsewhere: status == http.StatusMisdirectedRequest, Signed: a.Get("X-Signed") != "",
+		MatchesRequest: func(a http.Header, id string) bool { return a.Get("X-Id") == id },
+		ParseResponse: func(status int, a http.Header) gateway.ResponseInfo {
+			return gateway.ResponseInfo{
+				NotRun: a.Get("X-Not-Run") != "", Misdirected: status == http.StatusMisdirectedRequest, Signed: a.Get("X-Signed") != "",
 			}
 		},
 	}
@@ -139,10 +139,10 @@
 // newBed serves one pool of the backends on routes for each kind of request.
 func newBed(t *testing.T, backends ...*backend) *bed {
 	t.Helper()
-	return newBedWith(t, gateway.BudgetConfig{Ratio: 0.2, Window: 10 * time.Millisecond, Slack: 100}, backends...)
+	return newBedWith(t, gateway.RetryBudgetConfig{Ratio: 0.2, Window: 10 * time.Millisecond, Burst: 100}, backends...)
 }
 
-func newBedWith(t *testing.T, budget gateway.BudgetConfig, backends ...*backend) *bed {
+func newBedWith(t *testing.T, budget gateway.RetryBudgetConfig, backends ...*backend) *bed {
 	t.Helper()
 	return newBedOf(t, budget, logr.Discard(), backends...)
 }
@@ -150,16 +150,16 @@
 // newBedLogging is a bed that logs what it believes.
 func newBedLogging(t *testing.T, log logr.Logger, backends ...*backend) *bed {
 	t.Helper()
-	return newBedOf(t, gateway.BudgetConfig{Ratio: 0.2, Window: 10 * time.Millisecond, Slack: 100}, log, backends...)
+	return newBedOf(t, gateway.RetryBudgetConfig{Ratio: 0.2, Window: 10 * time.Millisecond, Burst: 100}, log, backends...)
 }
 
-func newBedOf(t *testing.T, budget gateway.BudgetConfig, log logr.Logger, backends ...*backend) *bed {
+func newBedOf(t *testing.T, budget gateway.RetryBudgetConfig, log logr.Logger, backends ...*backend) *bed {
 	t.Helper()
 	dialer := peer.NewDialer(peer.DialerConfig{})
 	g := gateway.New(gateway.Config{
 		Self: &schema.RosterEntry{Host: "e", CallerAddress: "127.0.0.1:1"}, Seeds: func() []string { return nil }, Dialer: dialer,
 		Replica: ledger.NewReplica(), Sender: relay.NewSender(relay.Config{}), Codec: codec(),
-		Budget: budget, Log: log, Requests: logr.Discard(), KeyRevocation: revocation,
+		RetryBudget: budget, Log: log, RequestLog: logr.Discard(), KeyRevocation: revocation,
 	})
 	t.Cleanup(func() {
 		g.Close()
@@ -414,7 +414,7 @@
 	defer g.Close()
 	require.False(t, g.Ready())
 	// The gateway ends: what waits for the first configuration is answered.
-	g.End()
+	g.AbortRequests()
 	w := httptest.NewRecorder()
 	g.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/once/x", nil))
 	require.Equal(t, http.StatusServiceUnavailable, w.Code)
--- a/internal/gateway/harmful.go
+++ b/internal/gateway/harmful.go
@@ -8,10 +8,10 @@
 )
 
 // subject is the request as the guard knows it.
-func (x *exchange) subject() *quarantine.Subject {
+func (x *exchange) subject() *quarantine.KeyedRequest {
 	if x.guarded == nil {
-		x.guarded = quarantine.NewSubject(quarantine.Request{
-			Method: x.r.Method, Host: x.r.Host, Target: x.r.RequestURI, Caller: x.call.Caller, Body: x.body,
+		x.guarded = quarantine.NewKeyedRequest(quarantine.Request{
+			Method: x.r.Method, Host: x.r.Host, Target: x.r.RequestURI, Caller: x.call.APIKey, Body: x.body,
 		})
 	}
 	return x.guarded
@@ -21,10 +21,10 @@
 // end or this entry broke off says nothing about the server, and one that leaves ends anyhow,
 // whatever it runs.
 func (x *exchange) brokeOff(s *server, err error) {
-	if !errors.Is(err, relay.ErrBroken) || x.paid || x.ctx.Err() != nil || !x.g.fleet.takesWork(s) {
+	if !errors.Is(err, relay.ErrInterrupted) || x.paid || x.ctx.Err() != nil || !x.g.fleet.takesWork(s) {
 		return
 	}
-	x.g.guard.BrokeOff(x.subject(), s.id, s.address)
+	x.g.guard.AttemptFailed(x.subject(), s.id, s.address)
 }
 
 // heldBack refuses a request at once that is known to end the servers that run it. Its
--- a/internal/gateway/observed.go
+++ b/internal/gateway/observed.go
@@ -95,7 +95,7 @@
 }
 
 // arrive notes a request's prompt.
-func (o *observed) arrive(c *Call) {
+func (o *observed) arrive(c *RequestInfo) {
 	long := 0.0
 	if o.isLong(c) {
 		long = float64(c.PromptTokens)
@@ -147,7 +147,7 @@
 }
 
 // isLong reports whether reading a prompt holds up the streams beside it for long.
-func (o *observed) isLong(c *Call) bool {
+func (o *observed) isLong(c *RequestInfo) bool {
 	if o.gap <= 0 {
 		return false
 	}
@@ -159,9 +159,9 @@
 func (o *observed) apart() bool { return o.long > longShare*o.tokens && o.tokens > 0 }
 
 // shared is how long an engine reads what a call shares with others, in ms.
-func (o *observed) shared(c *Call) float64 {
+func (o *observed) shared(c *RequestInfo) float64 {
 	tokens := 0
-	for _, p := range c.Parts[:max(len(c.Parts)-1, 0)] {
+	for _, p := range c.PromptParts[:max(len(c.PromptParts)-1, 0)] {
 		tokens += p.Tokens
 	}
 	return float64(tokens) / o.readRate()
--- a/internal/gateway/patience_test.go
+++ b/internal/gateway/patience_test.go
@@ -61,7 +61,7 @@
 		stream(1, 2, true)(conn, q)
 	}
 	a, b := newBackend(t, late), newBackend(t, late)
-	bed := newBedWith(t, gateway.BudgetConfig{Ratio: 0, Window: time.Hour, Slack: 0}, a, b)
+	bed := newBedWith(t, gateway.RetryBudgetConfig{Ratio: 0, Window: time.Hour, Burst: 0}, a, b)
 	got := bed.call(t, "/resume/x", "body", "m")
 	require.Equal(t, http.StatusOK, got.status)
 	require.False(t, got.broken)
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"fennelyard/internal/logbook"
+	"fennelyard/internal/asynclog"
 	"fennelyard/internal/schema"
 )
 
@@ -25,15 +25,15 @@
 	if x.server != nil {
 		server = x.server.id
 	}
-	g.cfg.Requests.Info("request", "id", x.call.ID, "key", x.guarded.Known(), "outcome", x.outcome.String(), "team", x.teamName(), "quota-cost", x.access.cost, "confirmed-age-ms", time.Since(g.attend.confirmedAt()).Milliseconds(), "status", x.status, "route", route,
+	g.cfg.RequestLog.Info("request", "id", x.call.ID, "key", x.guarded.ComputedKey(), "outcome", x.outcome.String(), "team", x.teamName(), "quota-cost", x.access.cost, "confirmed-age-ms", time.Since(g.attend.confirmedAt()).Milliseconds(), "status", x.status, "route", route,
 		"version", version, "pool", x.pool, "model", x.call.Model, "adapter", x.call.Adapter, "server", server,
 		"attempts", x.attempts, "runs", x.runs, "tried", x.tried, "waited-ms", x.waited.Milliseconds(),
-		"first-ms", x.first.Milliseconds(), "pause-ms", x.pause.Milliseconds(), "took-ms", took.Milliseconds(), "wait-ms", x.call.Wait.Milliseconds(), "prompt", x.call.PromptTokens,
+		"first-ms", x.first.Milliseconds(), "pause-ms", x.pause.Milliseconds(), "took-ms", took.Milliseconds(), "wait-ms", x.call.Timeout.Milliseconds(), "prompt", x.call.PromptTokens,
 		"at-once", x.atOnce, "unread", x.unread, "read-rate", rate, "apart", apart,
-		"leader-age-ms", g.attend.age().Milliseconds(), "cause", logbook.Text(x.cause))
-	if g.cfg.Served != nil {
-		g.cfg.Served(Served{
-			Kind: kind, Team: x.teamName(), Outcome: x.outcome, Status: x.status, Took: took, First: x.first, Attempts: x.attempts,
+		"leader-age-ms", g.attend.age().Milliseconds(), "cause", asynclog.ErrorText(x.cause))
+	if g.cfg.OnRequestDone != nil {
+		g.cfg.OnRequestDone(RequestStats{
+			RouteKind: kind, Team: x.teamName(), Outcome: x.outcome, Status: x.status, Duration: took, TimeToFirstByte: x.first, Attempts: x.attempts,
 		})
 	}
 }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -53,7 +53,7 @@
 }
 
 // count adds a request to the runs of its model and adapter, or takes it off.
-func (s *server) count(c *Call, by int) {
+func (s *server) count(c *RequestInfo, by int) {
 	names := []string{c.Model}
 	if c.Adapter != "" {
 		names = append(names, c.Model+"/"+c.Adapter)
@@ -103,9 +103,9 @@
 func (s *server) ready() bool { return s.view.GetState() == schema.RosterState_ROSTER_STATE_READY }
 
 // uncached returns how many tokens of a call's prompt the server has to read.
-func (s *server) uncached(c *Call) int {
+func (s *server) uncached(c *RequestInfo) int {
 	tokens := c.PromptTokens
-	for _, p := range c.Parts {
+	for _, p := range c.PromptParts {
 		if s.parts[c.Model+"/"+c.Adapter+"/"+p.ID] == 0 {
 			break
 		}
@@ -114,9 +114,9 @@
 	return max(tokens, 0)
 }
 
-func (s *server) remember(c *Call) {
+func (s *server) remember(c *RequestInfo) {
 	s.requests++
-	for _, p := range c.Parts {
+	for _, p := range c.PromptParts {
 		s.parts[c.Model+"/"+c.Adapter+"/"+p.ID] = s.requests
 	}
 	for len(s.parts) > partsKept {
--- a/internal/gateway/starts_test.go
+++ b/internal/gateway/starts_test.go
@@ -23,7 +23,7 @@
 // them, and each refusal costs its caller an attempt.
 func TestEngineThatStartsAgainHoldsNothing(t *testing.T) {
 	const ready, gone = schema.RosterState_ROSTER_STATE_READY, schema.RosterState_ROSTER_STATE_GONE
-	m, n := &gateway.Call{Model: "m"}, &gateway.Call{Model: "n"}
+	m, n := &gateway.RequestInfo{Model: "m"}, &gateway.RequestInfo{Model: "n"}
 
 	e := gateway.NewEngines(0)
 	e.Believe(engineStart("i-1@1000", ready, "m"))
@@ -46,7 +46,7 @@
 // kept are gone with it, and counted on they would have the next one read them late.
 func TestPromptPartsAreOfOneStart(t *testing.T) {
 	const ready = schema.RosterState_ROSTER_STATE_READY
-	call := &gateway.Call{Model: "m", PromptTokens: 9000, Parts: []gateway.Part{{ID: "s", Tokens: 9000}}}
+	call := &gateway.RequestInfo{Model: "m", PromptTokens: 9000, PromptParts: []gateway.PromptPart{{ID: "s", Tokens: 9000}}}
 	e := gateway.NewEngines(0)
 	e.Believe(engineStart("i-1@1000", ready, "m"))
 	e.Send(call)
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -32,7 +32,7 @@
 	got := make(chan result, 1)
 	go func() { got <- b.call(t, "/events/x", "body", "rare") }()
 	require.Eventually(t, func() bool { return b.g.State().Waiting == 1 }, 5*time.Second, time.Millisecond)
-	b.g.Stopping(time.Now())
+	b.g.StartDraining(time.Now())
 	require.Equal(t, result{status: http.StatusServiceUnavailable, after: "0.05"}, <-got)
 }
 
@@ -48,7 +48,7 @@
 	go func() { sent <- b.call(t, "/once/x", "body", "") }()
 	go func() { waits <- b.call(t, "/events/x", "body", "rare") }()
 	require.Eventually(t, func() bool { return silent.seen.Load() == 1 && b.g.State().Waiting == 1 }, 5*time.Second, time.Millisecond)
-	b.g.End()
+	b.g.AbortRequests()
 	require.Equal(t, http.StatusBadGateway, (<-sent).status)
 	require.Equal(t, result{status: http.StatusServiceUnavailable, after: "0.05"}, <-waits)
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -17,8 +17,8 @@
 // stream passes a stream on, event by event. When its server fails, a stream
 // that may be resumed goes on at another one after the last event that has left;
 // the caller sees one answer under the first server's header.
-func (x *exchange) stream(s *server, answer *relay.Answer, patience *patience, read func()) bool {
-	last := x.call.After
+func (x *exchange) stream(s *server, answer *relay.Response, patience *patience, read func()) bool {
+	last := x.call.LastEventID
 	for {
 		err := x.events(answer, &last, func() bool {
 			read()
@@ -28,7 +28,7 @@
 		switch {
 		case err == nil:
 			x.g.fleet.good(s)
-			x.g.guard.RanWhole(x.subject())
+			x.g.guard.AttemptCompleted(x.subject())
 			x.status, x.outcome = http.StatusOK, OutcomeServed
 			return false
 		case errors.Is(err, errCallerGone):
@@ -59,8 +59,8 @@
 }
 
 // events passes events on until the stream ends; nil is a regular end.
-func (x *exchange) events(answer *relay.Answer, last *int64, begun func() bool) error {
-	in := relay.NewEvents(answer.Body)
+func (x *exchange) events(answer *relay.Response, last *int64, begun func() bool) error {
+	in := relay.NewEventReader(answer.Body)
 	out := http.NewResponseController(x.w)
 	for came := time.Now(); ; came = time.Now() {
 		b, err := in.Next()
@@ -82,7 +82,7 @@
 		if !begun() {
 			return errGivenUp
 		}
-		if first, to, ok := relay.IDs(b); ok {
+		if first, to, ok := relay.EventIDs(b); ok {
 			if x.started && first != *last+1 {
 				return errGap
 			}
@@ -100,19 +100,19 @@
 	}
 }
 
-func (x *exchange) begin(answer *relay.Answer) {
+func (x *exchange) begin(answer *relay.Response) {
 	x.pass(answer)
 	x.first = time.Since(x.began)
 	x.w.WriteHeader(answer.Status)
 }
 
 // resume asks another server to go on after an event.
-func (x *exchange) resume(last int64) (*server, *relay.Answer) {
+func (x *exchange) resume(last int64) (*server, *relay.Response) {
 	for {
 		if x.route.GetRepeat() != schema.Repeat_REPEAT_RESUME || x.runs >= int(x.route.GetMaxAttempts()) {
 			return nil, nil
 		}
-		x.g.guard.Await(x.ctx, x.subject())
+		x.g.guard.AwaitProbes(x.ctx, x.subject())
 		if _, held := x.g.guard.HeldBack(x.subject()); held {
 			return nil, nil
 		}
@@ -137,7 +137,7 @@
 			}
 			continue
 		}
-		v := x.g.cfg.Codec.Judge(answer.Status, answer.Header)
+		v := x.g.cfg.Codec.ParseResponse(answer.Status, answer.Header)
 		if v.NotRun {
 			answer.Close()
 			continue
--- a/internal/host/harmful_test.go
+++ b/internal/host/harmful_test.go
@@ -32,7 +32,7 @@
 			var ended atomic.Int64
 			for i := range servers {
 				b.application(fmt.Sprint("app-", i), func(c *standin.ApplicationConfig) {
-					c.HarmfulBody, c.Ended = harmful, func() { ended.Add(1) }
+					c.CrashBody, c.Crashed = harmful, func() { ended.Add(1) }
 				})
 			}
 			b.awaitServers(servers)
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -97,7 +97,7 @@
 	})
 	h.entry = entry.New(entry.Config{
 		Settings: h.cfg.Settings, Self: h.self, Incarnation: incarnation, Replica: replica,
-		Control: h.client, Members: h.members, Random: rand.IntN, RandomID: consensus.RandomID,
+		Control: h.client, Membership: h.members, Random: rand.IntN, RandomID: consensus.RandomID,
 		Log: h.cfg.Log.WithName("entry"), Tracer: h.cfg.Tracer, Metrics: h.metrics,
 		CallerListener: listeners.caller, OperatorListener: listeners.operator, BackendListener: listeners.backend,
 	})
@@ -178,28 +178,28 @@
 		Ledger: h.group.Ledger(),
 		Leadership: func() order.Leadership {
 			s := h.group.Status()
-			return order.Leadership{Leads: s.Current, Term: s.Term}
+			return order.Leadership{IsLeader: s.CommittedInTerm, Term: s.Term}
 		},
 		Commit: h.group.Commit,
-		Confirm: func(ctx context.Context) error {
-			_, err := h.group.Confirm(ctx)
+		ConfirmLeadership: func(ctx context.Context) error {
+			_, err := h.group.ConfirmLeadership(ctx)
 			return err
 		},
-		Give: engine.NewClient().Give,
-		Speeds: placement.Speeds{
-			RemoteMiB: float64(w.GetRemoteMibPerSecond()), DiskMiB: float64(w.GetDiskMibPerSecond()),
-			MemoryMiB: float64(w.GetMemoryMibPerSecond()), LoadsPerSecond: w.GetLoadsPerSecond(),
-			FullSpeed: int(w.GetFullSpeedLoads()),
+		SendOrder: engine.NewClient().SendOrder,
+		Speeds: placement.LoadSpeeds{
+			RemoteMiBPerSecond: float64(w.GetRemoteMibPerSecond()), DiskMiBPerSecond: float64(w.GetDiskMibPerSecond()),
+			MemoryMiBPerSecond: float64(w.GetMemoryMibPerSecond()), LoadsPerSecond: w.GetLoadsPerSecond(),
+			FullSpeedLoads: int(w.GetFullSpeedLoads()),
 		},
-		Weights: placement.Weights{
-			ColdSecond: p.GetColdSecondWeight(), IdleHour: p.GetIdleHourWeight(),
-			PerReplica: int(h.cfg.Settings.GetEntry().GetReplicaLimit()),
+		Prices: placement.Prices{
+			ColdStartSecond: p.GetColdSecondWeight(), IdleAcceleratorHour: p.GetIdleHourWeight(),
+			WaitingPerReplica: int(h.cfg.Settings.GetEntry().GetReplicaLimit()),
 		},
 		Now: time.Now, Log: h.cfg.Log.WithName("order"), Tracer: h.cfg.Tracer,
-		Loaded: func(t placement.Tier, took time.Duration, ok bool) { h.metrics.Load(t.String(), took, ok) },
-		Idled:  h.metrics.Idle,
+		ObserveLoad: func(t placement.Tier, took time.Duration, ok bool) { h.metrics.Load(t.String(), took, ok) },
+		ObserveIdle: h.metrics.Idle,
 	})
-	h.group.Lead(h.driver.Report, h.driver.Forecast, h.driver.Unproved)
+	h.group.SetLeaderHandlers(h.driver.HandleReport, h.driver.Forecast, h.driver.UnconfirmedReservations)
 }
 
 func (h *Host) startMembers(probe net.PacketConn, incarnation uint64) {
@@ -229,8 +229,8 @@
 // Ready reports whether the host serves callers.
 func (h *Host) Ready() bool { return h.entry.Readiness() != entry.ReadinessNone }
 
-// Leads reports whether this host's control member leads.
-func (h *Host) Leads() bool { return h.group != nil && h.group.Status().Current }
+// IsLeader reports whether this host's control member leads.
+func (h *Host) IsLeader() bool { return h.group != nil && h.group.Status().CommittedInTerm }
 
 // Failed is closed when the control role ended by itself; Err tells why. The
 // process must then end: what its disk holds is no longer known.
--- a/internal/host/path_test.go
+++ b/internal/host/path_test.go
@@ -112,7 +112,7 @@
 	outcomes := map[string]int{}
 	try := func(name string) {
 		r := b.post("/services/regdesk/enter", `{"club":"x"}`, "Idempotency-Key", name)
-		n := runs.Of(name)
+		n := runs.Count(name)
 		outcomes[fmt.Sprintf("%s %s", r.outcome, r.code)]++
 		if r.outcome == "not-run" {
 			require.Zero(t, n, "%s: said not-run and ran", name)
@@ -125,7 +125,7 @@
 		l.reads.Store(-1)
 		l.writes.Store(-1)
 		again := b.post("/services/regdesk/enter", `{"club":"x"}`, "Idempotency-Key", name)
-		require.LessOrEqual(t, runs.Of(name), 1, name)
+		require.LessOrEqual(t, runs.Count(name), 1, name)
 		if r.outcome == "not-run" {
 			require.Equal(t, http.StatusOK, again.status, "%s: %s", name, again.body)
 		}
@@ -139,7 +139,7 @@
 		try(fmt.Sprintf("answer-%d", n))
 	}
 	t.Log(outcomes)
-	assert.Equal(t, 1, runs.Most())
+	assert.Equal(t, 1, runs.Max())
 }
 
 // TestRefusedConnectionIsNotRun: the server's process is gone but its record is
@@ -158,7 +158,7 @@
 		r := b.post("/services/regdesk/enter", "{}", "Idempotency-Key", fmt.Sprint("k", i))
 		require.Equal(t, http.StatusOK, r.status, "%s", r.body)
 	}
-	assert.Equal(t, 1, runs.Most())
+	assert.Equal(t, 1, runs.Max())
 }
 
 // TestBrokenAnswersNeverPassAsWhole: replicas that cut, garble or swap their
@@ -350,7 +350,7 @@
 	for i := range 20 {
 		r := b.post("/services/regdesk/enter", "{}", "Idempotency-Key", fmt.Sprint("k", i))
 		require.Equal(t, http.StatusOK, r.status)
-		assert.Zero(t, first.Runs().Of(fmt.Sprint("k", i)))
-		assert.Equal(t, 1, second.Runs().Of(fmt.Sprint("k", i)))
+		assert.Zero(t, first.Runs().Count(fmt.Sprint("k", i)))
+		assert.Equal(t, 1, second.Runs().Count(fmt.Sprint("k", i)))
 	}
 }
--- a/internal/host/silence_test.go
+++ b/internal/host/silence_test.go
@@ -41,7 +41,7 @@
 		key := fmt.Sprint("k", i)
 		r := b.post("/services/regdesk/enter", "{}", "Idempotency-Key", key)
 		require.Equal(t, 200, r.status, "%s", r.body)
-		require.Equal(t, 1, a.Runs().Of(key))
+		require.Equal(t, 1, a.Runs().Count(key))
 		l.silence()
 	}
 }
@@ -64,5 +64,5 @@
 	})
 	assert.Equal(t, "true", again.header.Get("Fennelyard-Replayed"))
 	assert.Equal(t, string(first.body), string(again.body))
-	assert.Equal(t, 1, a.Runs().Of("k"))
+	assert.Equal(t, 1, a.Runs().Count("k"))
 }
--- a/internal/incarnation/incarnation.go
+++ b/internal/incarnation/incarnation.go
@@ -16,18 +16,18 @@
 type Name struct {
 	// Server is the server's id.
 	Server string
-	// Born is when the start was, in Unix milliseconds by the server's clock; 0 for
+	// StartMs is when the start was, in Unix milliseconds by the server's clock; 0 for
 	// servers that do not say it.
-	Born int64
+	StartMs int64
 }
 
 // String returns the incarnation's key: the id alone where no start is told, else the
 // id and the start. Parse takes it apart.
 func (n Name) String() string {
-	if n.Born == 0 && strings.IndexByte(n.Server, separator) < 0 {
+	if n.StartMs == 0 && strings.IndexByte(n.Server, separator) < 0 {
 		return n.Server
 	}
-	return n.Server + string(separator) + strconv.FormatInt(n.Born, 10)
+	return n.Server + string(separator) + strconv.FormatInt(n.StartMs, 10)
 }
 
 // Parse returns the incarnation of a key. It allocates nothing.
@@ -41,7 +41,7 @@
 		// No key that String makes: an id that was recorded as it came.
 		return Name{Server: key}
 	}
-	return Name{Server: key[:at], Born: born}
+	return Name{Server: key[:at], StartMs: born}
 }
 
 // ServerOf returns the id of the server of a key.
--- a/internal/incarnation/incarnation_test.go
+++ b/internal/incarnation/incarnation_test.go
@@ -13,10 +13,10 @@
 		of  incarnation.Name
 		key string
 	}{
-		"a start":                     {incarnation.Name{Server: "i-7f", Born: 1784556072000}, "i-7f@1784556072000"},
+		"a start":                     {incarnation.Name{Server: "i-7f", StartMs: 1784556072000}, "i-7f@1784556072000"},
 		"no start told":               {incarnation.Name{Server: "i-7f"}, "i-7f"},
 		"an id that looks like a key": {incarnation.Name{Server: "i@5"}, "i@5@0"},
-		"an id with the separator":    {incarnation.Name{Server: "a@b", Born: 7}, "a@b@7"},
+		"an id with the separator":    {incarnation.Name{Server: "a@b", StartMs: 7}, "a@b@7"},
 		"no id":                       {incarnation.Name{}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/ledger/claims.go
+++ b/internal/ledger/claims.go
@@ -16,11 +16,11 @@
 	// ClaimLimit is how many keys are remembered at once. Above it new claims
 	// are refused; none is forgotten early, or its resend would run again.
 	ClaimLimit = 200000
-	// MaxKeptAnswer is the largest answer body that is kept for resends.
-	MaxKeptAnswer = 64 << 10
-	// KeptAnswersLimit bounds the bodies of all kept answers together. Above it
+	// MaxAnswerBytes is the largest answer body that is kept for resends.
+	MaxAnswerBytes = 64 << 10
+	// MaxTotalAnswerBytes bounds the bodies of all kept answers together. Above it
 	// the oldest are dropped; their keys are remembered all the same.
-	KeptAnswersLimit = 32 << 20
+	MaxTotalAnswerBytes = 32 << 20
 	// claimGrace is added to a run's deadline before a claim that nobody
 	// settled counts as unknown.
 	claimGrace = 10 * time.Second
@@ -61,7 +61,7 @@
 	}
 	t.answered = append(t.answered, k)
 	t.kept += len(c.GetAnswer().GetBody())
-	for t.kept > KeptAnswersLimit {
+	for t.kept > MaxTotalAnswerBytes {
 		oldest := t.answered[0]
 		t.answered = t.answered[1:]
 		old, ok := t.byKey[oldest]
@@ -178,7 +178,7 @@
 }
 
 func boundAnswer(a *schema.Answer) *schema.Answer {
-	if len(a.GetBody()) <= MaxKeptAnswer {
+	if len(a.GetBody()) <= MaxAnswerBytes {
 		return a
 	}
 	return &schema.Answer{Status: a.GetStatus(), ContentType: a.GetContentType(), Omitted: true}
--- a/internal/ledger/configuration.go
+++ b/internal/ledger/configuration.go
@@ -37,12 +37,12 @@
 // DepartureKey returns the key of a backend server's departure.
 func DepartureKey(server string) string { return departurePrefix + server }
 
-// HolderKey returns the key of an engine's order holder.
-func HolderKey(server string) string { return holderPrefix + server }
+// OrderHolderKey returns the key of an engine's order holder.
+func OrderHolderKey(server string) string { return holderPrefix + server }
 
 // OrderHolder returns the host that gives an engine its orders, or nil.
 func (r *Records) OrderHolder(server string) *schema.OrderHolder {
-	return r.byKey[HolderKey(server)].GetOrderHolder()
+	return r.byKey[OrderHolderKey(server)].GetOrderHolder()
 }
 
 // OrderHolders returns all order holders, in no order.
@@ -112,7 +112,7 @@
 	}
 	for _, rec := range l.records.All() {
 		key := rec.GetKey()
-		if IsRouting(key) && !wanted[key] {
+		if IsRoutingKey(key) && !wanted[key] {
 			l.drop(key)
 		}
 	}
@@ -146,17 +146,17 @@
 		if l.records.OrderHolder(h.GetServer()).GetHost() != c.GetFrom() {
 			continue
 		}
-		l.putChanged(&schema.Record{Key: HolderKey(h.GetServer()), Value: &schema.Record_OrderHolder{OrderHolder: h}})
+		l.putChanged(&schema.Record{Key: OrderHolderKey(h.GetServer()), Value: &schema.Record_OrderHolder{OrderHolder: h}})
 	}
 	for _, server := range q.GetForgotten() {
-		if l.records.Record(HolderKey(server)) != nil {
-			l.drop(HolderKey(server))
+		if l.records.Record(OrderHolderKey(server)) != nil {
+			l.drop(OrderHolderKey(server))
 		}
 	}
 	return accepted()
 }
 
-// IsRouting reports whether a key is a route's, a pool's or a team's.
-func IsRouting(key string) bool {
+// IsRoutingKey reports whether a key is a route's, a pool's or a team's.
+func IsRoutingKey(key string) bool {
 	return strings.HasPrefix(key, routePrefix) || strings.HasPrefix(key, poolPrefix) || strings.HasPrefix(key, teamPrefix)
 }
--- a/internal/ledger/known.go
+++ b/internal/ledger/known.go
@@ -4,8 +4,8 @@
 
 const knownPrefix = "known-server/"
 
-// KnownKey returns the key of a backend server's incarnation.
-func KnownKey(server string) string { return knownPrefix + server }
+// KnownServerKey returns the key of a backend server's incarnation.
+func KnownServerKey(server string) string { return knownPrefix + server }
 
 // KnownServers returns the backend servers that a leader recorded and none has
 // forgotten, in no order.
@@ -18,10 +18,10 @@
 // the last of them only then, and callers who waited would all go to the first.
 func (l *Ledger) rememberServers(q *schema.RememberServers) *schema.Result {
 	for _, k := range q.GetServers() {
-		l.putChanged(&schema.Record{Key: KnownKey(k.GetId()), Value: &schema.Record_KnownServer{KnownServer: k}})
+		l.putChanged(&schema.Record{Key: KnownServerKey(k.GetId()), Value: &schema.Record_KnownServer{KnownServer: k}})
 	}
 	for _, id := range q.GetForgotten() {
-		l.drop(KnownKey(id))
+		l.drop(KnownServerKey(id))
 	}
 	return accepted()
 }
--- a/internal/ledger/known_test.go
+++ b/internal/ledger/known_test.go
@@ -26,9 +26,9 @@
 	require.NoError(t, err)
 	restored := ledger.New()
 	require.NoError(t, restored.Restore(data))
-	restored.View(func(_ ledger.Heads, r *ledger.Records) {
+	restored.View(func(_ ledger.Status, r *ledger.Records) {
 		require.Len(t, r.KnownServers(), 1)
 		require.Equal(t, "y:1", r.KnownServers()[0].GetAddress())
 	})
-	require.False(t, ledger.IsRouting(ledger.KnownKey("b")))
+	require.False(t, ledger.IsRoutingKey(ledger.KnownServerKey("b")))
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -270,23 +270,23 @@
 
 // View calls f with the state; f must neither keep the records' maps nor call
 // the ledger.
-func (l *Ledger) View(f func(Heads, *Records)) {
+func (l *Ledger) View(f func(Status, *Records)) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	f(Heads{
-		Index: l.index, Config: l.configRevision, Operator: l.operatorRevision,
+	f(Status{
+		Index: l.index, ConfigRevision: l.configRevision, OperatorRevision: l.operatorRevision,
 		LastOperator: l.lastOperator, LastCommand: l.lastCommand, Claims: len(l.claims.byKey),
 	}, l.records)
 }
 
-// Heads are the ledger's present revisions.
-type Heads struct {
-	Index        uint64
-	Config       uint64
-	Operator     uint64
-	LastOperator string
-	LastCommand  string
-	Claims       int
+// Status are the ledger's present revisions.
+type Status struct {
+	Index            uint64
+	ConfigRevision   uint64
+	OperatorRevision uint64
+	LastOperator     string
+	LastCommand      string
+	Claims           int
 }
 
 // Changed returns a channel that is closed at the next change of a record.
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -37,9 +37,9 @@
 	return b.l.Apply(b.index, data).(*schema.Result)
 }
 
-func (b *book) heads() ledger.Heads {
-	var h ledger.Heads
-	b.l.View(func(x ledger.Heads, _ *ledger.Records) { h = x })
+func (b *book) heads() ledger.Status {
+	var h ledger.Status
+	b.l.View(func(x ledger.Status, _ *ledger.Records) { h = x })
 	return h
 }
 
@@ -57,7 +57,7 @@
 
 func (b *book) force(in *schema.Intent) {
 	b.t.Helper()
-	r := b.intent(fmt.Sprintf("apply-%d", b.index), "ann", b.heads().Operator, in)
+	r := b.intent(fmt.Sprintf("apply-%d", b.index), "ann", b.heads().OperatorRevision, in)
 	require.Equal(b.t, schema.ResultCode_RESULT_CODE_OK, r.GetCode(), r.GetReason())
 	r = b.decide(fmt.Sprintf("confirm-%d", b.index), "ann", r.GetPlan().GetNumber(), true)
 	require.Equal(b.t, schema.ResultCode_RESULT_CODE_OK, r.GetCode(), r.GetReason())
@@ -119,7 +119,7 @@
 // whose command came first, and nothing of its own is in force.
 func TestOperatorsRaceUnderOneRevision(t *testing.T) {
 	b := newBook(t)
-	base := b.heads().Operator
+	base := b.heads().OperatorRevision
 	ok(t, b.intent("1", "ann", base, intentOf("a", modelIntent("m", 10, 0, 1))))
 	r := b.intent("2", "bob", base, intentOf("b", modelIntent("n", 10, 0, 1)))
 	refused(t, schema.ResultCode_RESULT_CODE_STALE, r)
@@ -156,7 +156,7 @@
 func TestPlanWhoseGroundMoved(t *testing.T) {
 	b := newBook(t)
 	p := b.intent("1", "ann", 0, intentOf("a", modelIntent("m", 10, 0, 1)))
-	q := b.intent("2", "bob", b.heads().Operator, intentOf("b", modelIntent("n", 10, 0, 1)))
+	q := b.intent("2", "bob", b.heads().OperatorRevision, intentOf("b", modelIntent("n", 10, 0, 1)))
 	ok(t, b.decide("3", "bob", q.GetPlan().GetNumber(), true))
 	r := b.decide("4", "ann", p.GetPlan().GetNumber(), true)
 	refused(t, schema.ResultCode_RESULT_CODE_STALE, r)
@@ -189,7 +189,7 @@
 			b := newBook(t)
 			ok(t, b.server("e", 1, 100))
 			b.force(intentOf("first", modelIntent("known", 10, 0, 1)))
-			r := b.intent("x", "ann", b.heads().Operator, c.in)
+			r := b.intent("x", "ann", b.heads().OperatorRevision, c.in)
 			refused(t, schema.ResultCode_RESULT_CODE_INVALID, r)
 			assert.Contains(t, r.GetReason(), c.says)
 		})
@@ -201,7 +201,7 @@
 	b.force(intentOf("a", modelIntent("m", 10, 0, 1), modelIntent("shared", 10, 0, 1)))
 	b.force(intentOf("b", modelIntent("shared", 10, 0, 1)))
 	b.force(intentOf("a", modelIntent("n", 10, 0, 1)))
-	b.l.View(func(_ ledger.Heads, r *ledger.Records) {
+	b.l.View(func(_ ledger.Status, r *ledger.Records) {
 		assert.Nil(t, r.Model("m"))
 		assert.False(t, r.Reaches("c", "m"))
 		assert.NotNil(t, r.Model("n"))
@@ -230,7 +230,7 @@
 	refused(t, schema.ResultCode_RESULT_CODE_INVALID, b.move(res.GetNumber(), fencing, schema.ReservationMove_RESERVATION_MOVE_RELEASED))
 
 	ok(t, b.server("e", 2, 100, 100))
-	b.l.View(func(_ ledger.Heads, r *ledger.Records) {
+	b.l.View(func(_ ledger.Status, r *ledger.Records) {
 		assert.Empty(t, r.Reservations(), "a new incarnation holds nothing")
 	})
 	refused(t, schema.ResultCode_RESULT_CODE_STALE, b.server("e", 1, 100))
@@ -248,7 +248,7 @@
 	res := b.reserve("m", "e", 1, 0).GetReservation()
 	ok(t, b.server("e", 2, 100))
 	var kept *schema.Reservation
-	b.l.View(func(_ ledger.Heads, r *ledger.Records) { kept = r.Reservation(res.GetNumber()) })
+	b.l.View(func(_ ledger.Status, r *ledger.Records) { kept = r.Reservation(res.GetNumber()) })
 	require.NotNil(t, kept)
 	assert.EqualValues(t, 2, kept.GetIncarnation())
 	assert.Equal(t, schema.ReservationState_RESERVATION_STATE_UNLOADING, kept.GetState())
@@ -322,7 +322,7 @@
 	b := newBook(t)
 	number := b.claim("k", "body", "a", 1).GetClaim().GetNumber()
 	ok(t, b.settle("k", number, schema.ClaimOutcome_CLAIM_OUTCOME_DONE,
-		&schema.Answer{Status: 200, Body: make([]byte, ledger.MaxKeptAnswer+1)}))
+		&schema.Answer{Status: 200, Body: make([]byte, ledger.MaxAnswerBytes+1)}))
 	a := b.claim("k", "body", "a", 2).GetClaim().GetAnswer()
 	assert.True(t, a.GetOmitted())
 	assert.Empty(t, a.GetBody())
@@ -332,10 +332,10 @@
 // answer is dropped, but its key still says that the request ran.
 func TestKeptAnswersAreBounded(t *testing.T) {
 	b := newBook(t)
-	for i := range ledger.KeptAnswersLimit/ledger.MaxKeptAnswer + 1 {
+	for i := range ledger.MaxTotalAnswerBytes/ledger.MaxAnswerBytes + 1 {
 		key := fmt.Sprint("k", i)
 		number := b.claim(key, "body", "a", 1).GetClaim().GetNumber()
-		ok(t, b.settle(key, number, schema.ClaimOutcome_CLAIM_OUTCOME_DONE, &schema.Answer{Status: 200, Body: make([]byte, ledger.MaxKeptAnswer)}))
+		ok(t, b.settle(key, number, schema.ClaimOutcome_CLAIM_OUTCOME_DONE, &schema.Answer{Status: 200, Body: make([]byte, ledger.MaxAnswerBytes)}))
 	}
 	first := b.claim("k0", "body", "a", 2)
 	refused(t, schema.ResultCode_RESULT_CODE_CLAIMED, first)
@@ -370,7 +370,7 @@
 			}
 		}
 		follower.Apply(b.l.Since(follower.Revision()))
-		b.l.View(func(_ ledger.Heads, r *ledger.Records) {
+		b.l.View(func(_ ledger.Status, r *ledger.Records) {
 			follower.View(func(f *ledger.Records) {
 				require.Equal(t, r.Len(), f.Len(), "seed %d", seed)
 				for _, rec := range r.All() {
@@ -386,7 +386,7 @@
 	target := fmt.Sprintf("m%d", random.Intn(4))
 	var reservations []*schema.Reservation
 	var incarnation uint64
-	b.l.View(func(_ ledger.Heads, r *ledger.Records) {
+	b.l.View(func(_ ledger.Status, r *ledger.Records) {
 		reservations = r.Reservations()
 		incarnation = r.Server(server).GetIncarnation()
 	})
@@ -401,7 +401,7 @@
 				in.Models = append(in.Models, modelIntent(fmt.Sprintf("m%d", i), uint64(30+10*i), 0, uint32(1+random.Intn(2))))
 			}
 		}
-		r := b.intent(fmt.Sprint("c", b.index), "ann", b.heads().Operator, in)
+		r := b.intent(fmt.Sprint("c", b.index), "ann", b.heads().OperatorRevision, in)
 		if r.GetPlan() != nil {
 			b.decide(fmt.Sprint("d", b.index), "bob", r.GetPlan().GetNumber(), random.Intn(4) > 0)
 		}
@@ -421,10 +421,10 @@
 
 func checkBounds(t *testing.T, b *book, seed int64, step int) {
 	t.Helper()
-	b.l.View(func(_ ledger.Heads, r *ledger.Records) {
+	b.l.View(func(_ ledger.Status, r *ledger.Records) {
 		for _, s := range r.Servers() {
 			busy := map[uint32]int{}
-			for _, res := range r.ReservationsOn(s.GetName()) {
+			for _, res := range r.ReservationsOnServer(s.GetName()) {
 				require.Equal(t, s.GetIncarnation(), res.GetIncarnation(), "seed %d step %d", seed, step)
 				if res.GetState() != schema.ReservationState_RESERVATION_STATE_LOADED {
 					busy[res.GetAccelerator()]++
@@ -502,7 +502,7 @@
 		}}})
 	}
 	holder := func() (host string) {
-		b.l.View(func(_ ledger.Heads, r *ledger.Records) { host = r.OrderHolder("s").GetHost() })
+		b.l.View(func(_ ledger.Status, r *ledger.Records) { host = r.OrderHolder("s").GetHost() })
 		return host
 	}
 	change("", "a")
--- a/internal/ledger/records.go
+++ b/internal/ledger/records.go
@@ -219,13 +219,13 @@
 // Reservations returns all reservations, sorted by number.
 func (r *Records) Reservations() []*schema.Reservation { return sortedValues(r.reservations) }
 
-// ReservationsOf returns the reservations for a target, sorted by number.
-func (r *Records) ReservationsOf(target string) []*schema.Reservation {
+// ReservationsForTarget returns the reservations for a target, sorted by number.
+func (r *Records) ReservationsForTarget(target string) []*schema.Reservation {
 	return sortedValues(r.byTarget[target])
 }
 
-// ReservationsOn returns the reservations on a server, sorted by number.
-func (r *Records) ReservationsOn(server string) []*schema.Reservation {
+// ReservationsOnServer returns the reservations on a server, sorted by number.
+func (r *Records) ReservationsOnServer(server string) []*schema.Reservation {
 	return sortedValues(r.byServer[server])
 }
 
--- a/internal/ledger/servers.go
+++ b/internal/ledger/servers.go
@@ -41,7 +41,7 @@
 // restarted, it may have reached the new process before that was recorded. Such
 // a reservation stays, to be unloaded from the new incarnation.
 func (l *Ledger) passOn(s *schema.Server) {
-	for _, r := range l.records.ReservationsOn(s.GetName()) {
+	for _, r := range l.records.ReservationsOnServer(s.GetName()) {
 		if r.GetState() == schema.ReservationState_RESERVATION_STATE_LOADED || int(r.GetAccelerator()) >= len(s.GetAcceleratorMib()) {
 			l.drop(ReservationKey(r.GetNumber()))
 			continue
@@ -56,7 +56,7 @@
 }
 
 func (l *Ledger) releaseAll(server string) {
-	for _, r := range l.records.ReservationsOn(server) {
+	for _, r := range l.records.ReservationsOnServer(server) {
 		l.drop(ReservationKey(r.GetNumber()))
 	}
 }
--- a/internal/ledger/suspects_test.go
+++ b/internal/ledger/suspects_test.go
@@ -33,9 +33,9 @@
 	require.NoError(t, err)
 	restored := ledger.New()
 	require.NoError(t, restored.Restore(data))
-	restored.View(func(_ ledger.Heads, r *ledger.Records) {
+	restored.View(func(_ ledger.Status, r *ledger.Records) {
 		require.Len(t, r.KnownSuspects(), 1)
 		require.Len(t, r.KnownSuspects()[0].GetSuspect().GetEnded(), 3)
 	})
-	require.False(t, ledger.IsRouting(ledger.SuspectKey([]byte{2})))
+	require.False(t, ledger.IsRoutingKey(ledger.SuspectKey([]byte{2})))
 }
--- a/internal/loading/adapters.go
+++ b/internal/loading/adapters.go
@@ -11,8 +11,8 @@
 // loaded a busy model would be given seconds of loading another one, and then the next,
 // while the callers of all its adapters are refused. An adapter takes milliseconds, and the
 // engine's places bound how often it goes first.
-func (p *plan) placeAdapters() (others []AdapterDemand) {
-	for _, d := range p.in.Adapters {
+func (p *plan) placeAdapters() (others []ModelRef) {
+	for _, d := range p.in.WaitingAdapters {
 		if !p.placeAdapter(d) {
 			others = append(others, d)
 		}
@@ -21,7 +21,7 @@
 }
 
 // placeAdapter loads an adapter at the engine with the most free places.
-func (p *plan) placeAdapter(d AdapterDemand) bool {
+func (p *plan) placeAdapter(d ModelRef) bool {
 	var best *Engine
 	most := 0
 	for _, e := range p.free {
@@ -41,7 +41,7 @@
 // asked for the longest, at the engine where adapters and what late orders may bring take
 // the fewest places. One with requests is never dropped: the engine takes no other order
 // until they have ended, and those that wait for other adapters there wait with it.
-func (p *plan) makePlace(d AdapterDemand) {
+func (p *plan) makePlace(d ModelRef) {
 	var best *Engine
 	var victim heldAdapter
 	most := math.MinInt
@@ -57,7 +57,7 @@
 		return
 	}
 	p.take(best)
-	p.out = append(p.out, Action{Engine: best.ID, Model: victim.model, Adapter: victim.adapter, For: d.Model})
+	p.out = append(p.out, Action{Engine: best.ID, Model: victim.model, Adapter: victim.adapter, RoomFor: d.Model})
 }
 
 // stockAdapters fills free places with adapters of busy models: first with those that
@@ -69,7 +69,7 @@
 func (p *plan) stockAdapters() {
 	held := map[heldAdapter]int{}
 	for _, e := range p.in.Engines {
-		for _, h := range e.Held {
+		for _, h := range e.Loaded {
 			for a := range h.Adapters {
 				held[heldAdapter{h.Model, a}]++
 			}
@@ -98,7 +98,7 @@
 func (p *plan) missing(e *Engine, held map[heldAdapter]int) heldAdapter {
 	var unheld, further heldAdapter
 	rate, each := stockRate, copyRate
-	for _, h := range e.Held {
+	for _, h := range e.Loaded {
 		m := p.in.Models[h.Model]
 		if m == nil {
 			continue
@@ -131,7 +131,7 @@
 
 func adapters(e *Engine) int {
 	n := 0
-	for _, h := range e.Held {
+	for _, h := range e.Loaded {
 		n += len(h.Adapters)
 	}
 	return n
@@ -141,9 +141,9 @@
 func oldestIdle(e *Engine) heldAdapter {
 	var out heldAdapter
 	var at time.Time
-	for _, h := range e.Held {
+	for _, h := range e.Loaded {
 		for a, last := range h.Adapters {
-			if h.AdapterRuns[a] || slices.Contains(e.Late, AdapterDemand{Model: h.Model, Adapter: a}) {
+			if h.AdapterInUse[a] || slices.Contains(e.LateLoads, ModelRef{Model: h.Model, Adapter: a}) {
 				continue
 			}
 			this := heldAdapter{h.Model, a}
--- a/internal/loading/adapters_test.go
+++ b/internal/loading/adapters_test.go
@@ -26,7 +26,7 @@
 			return func() bool {
 				if beat++; beat%10 == 1 {
 					h.announce(s, beat)
-					h.drivers[0].Demand("entry", []*schema.ModelDemand{
+					h.drivers[0].HandleDemand("entry", []*schema.ModelDemand{
 						{Pool: "llm", Model: "m0", Adapter: "a1", Waiting: 5, Arrived: 2},
 						{Pool: "llm", Model: "m0", Adapter: "a2", Waiting: 5, Arrived: 2},
 						{Pool: "llm", Model: "m0", Adapter: "a3", Waiting: 5, Arrived: 2},
@@ -63,11 +63,11 @@
 		time.Sleep(time.Second)
 		late := roster.Announcement{
 			ID: s.engines["e1"].key(), Pool: "llm", Address: "e1", Sequence: 2,
-			Held: []*schema.HeldModel{{Name: "m0", Adapters: []string{"a1"}}},
+			Loaded: []*schema.HeldModel{{Name: "m0", Adapters: []string{"a1"}}},
 		}
 		require.True(t, h.rosters[0].Announce(late))
-		h.drivers[0].Announced(late)
-		h.drivers[0].Demand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m0", Adapter: "a4", Waiting: 1, Arrived: 1}})
+		h.drivers[0].HandleAnnouncement(late)
+		h.drivers[0].HandleDemand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m0", Adapter: "a4", Waiting: 1, Arrived: 1}})
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, places, s.holdsAdapters("e1", "m0"))
 		h.stop()
@@ -92,7 +92,7 @@
 		await(t, func() bool { return h.of("e1").Host != "" })
 		time.Sleep(3 * time.Second)
 		require.Less(t, adapter(), 100*time.Millisecond)
-		h.drivers[0].Demand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m2", Waiting: 1, Arrived: 1}})
+		h.drivers[0].HandleDemand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m2", Waiting: 1, Arrived: 1}})
 		await(t, func() bool { return s.busy("e1") })
 		time.Sleep(time.Second)
 		require.InDelta(t, s.storeTime-time.Second, adapter(), float64(500*time.Millisecond))
--- a/internal/loading/cost.go
+++ b/internal/loading/cost.go
@@ -50,9 +50,9 @@
 func (m *Model) loadTime(inMemory, onDisk map[string]bool) time.Duration {
 	switch {
 	case inMemory[m.Name]:
-		return m.FromMemory
+		return m.MemoryLoadTime
 	case onDisk[m.Name]:
-		return m.FromDisk
+		return m.DiskLoadTime
 	}
-	return m.FromStore
+	return m.StoreLoadTime
 }
--- a/internal/loading/demand.go
+++ b/internal/loading/demand.go
@@ -98,8 +98,8 @@
 	return n
 }
 
-// Demand takes in what an entry was asked for since it last said so.
-func (d *Driver) Demand(entry string, demands []*schema.ModelDemand) {
+// HandleDemand takes in what an entry was asked for since it last said so.
+func (d *Driver) HandleDemand(entry string, demands []*schema.ModelDemand) {
 	if len(demands) == 0 {
 		return
 	}
@@ -158,8 +158,8 @@
 	}
 }
 
-// Forget drops what an entry said that is gone.
-func (d *Driver) Forget(entry string) {
+// RemoveEntry drops what an entry said that is gone.
+func (d *Driver) RemoveEntry(entry string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, m := range d.demands {
@@ -244,7 +244,7 @@
 		return idle + d.loadTime(e), true
 	case e.order.Load && e.order.Model == x.GetModel():
 		return remaining(now.Sub(e.given), d.loadTime(e)), true
-	case !e.order.Load && e.order.For == x.GetModel():
+	case !e.order.Load && e.order.RoomFor == x.GetModel():
 		return d.loadTimeOf(e, x.GetModel()) + dueSlack, true
 	}
 	return 0, false
--- a/internal/loading/driver.go
+++ b/internal/loading/driver.go
@@ -28,15 +28,15 @@
 	// burst before it takes some hundred milliseconds for it; orders that do not wait for it
 	// are given again, and are more work for it than those that leave.
 	confirmWait = 400 * time.Millisecond
-	// LeadFor is how old a quorum's word may be with which a leader answers a
+	// LeadershipProofMaxAge is how old a quorum's word may be with which a leader answers a
 	// holder: a round of the group for each order would cost a leader of a large
 	// fleet more than all else that it does.
-	LeadFor = 150 * time.Millisecond
+	LeadershipProofMaxAge = 150 * time.Millisecond
 	// leaseMargin is added to the pause between two holders' orders. An order of the old
 	// holder arrives within LeadFor and the longer of confirmWait and confirmFor, for which
 	// what it knew was true, and orderWait, after which its connection is reset; the rest is
 	// for the way in between.
-	leaseMargin = LeadFor + max(confirmWait, confirmFor) + orderWait + 50*time.Millisecond
+	leaseMargin = LeadershipProofMaxAge + max(confirmWait, confirmFor) + orderWait + 50*time.Millisecond
 	// holderPatience and holderTries are for how long, and how often, an engine's
 	// order holder may fail to send its orders before another host takes them over:
 	// a host restarts within a second. enginePatience and engineTries are the same
@@ -81,19 +81,19 @@
 
 // Leadership is whether this host leads, and in which term.
 type Leadership struct {
-	Leads bool
-	Term  uint64
+	IsLeader bool
+	Term     uint64
 }
 
 // Config configures a Driver. All fields are required.
 type Config struct {
 	Leadership func() Leadership
 	Holders    Holders
-	// Ask asks an engine for a report.
-	Ask    func(ctx context.Context, address, server string) (Report, error)
-	Roster *roster.Roster
-	// Known returns the servers that earlier leaders recorded.
-	Known func() []*schema.KnownServer
+	// FetchReport asks an engine for a report.
+	FetchReport func(ctx context.Context, address, server string) (Report, error)
+	Roster      *roster.Roster
+	// KnownServers returns the servers that earlier leaders recorded.
+	KnownServers func() []*schema.KnownServer
 	// Pools returns the pools in force.
 	Pools func() []*schema.Pool
 	// OrderLease is the time between the last order of one holder of an engine's
@@ -103,8 +103,8 @@
 	LoadWindow time.Duration
 	Now        func() time.Time
 	Log        logr.Logger
-	// Ordered, where set, counts answered orders.
-	Ordered func(o Outcome, load, adapter bool)
+	// ObserveOrder, where set, counts answered orders.
+	ObserveOrder func(o Outcome, load, adapter bool)
 }
 
 // Driver gives the leader's orders. All methods are safe from any goroutine.
@@ -202,12 +202,12 @@
 	}
 }
 
-// Announced takes an engine's announcement in.
-func (d *Driver) Announced(a roster.Announcement) {
+// HandleAnnouncement takes an engine's announcement in.
+func (d *Driver) HandleAnnouncement(a roster.Announcement) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.cfg.Now()
-	said := a.At(now)
+	said := a.ReceivedAt(now)
 	e := d.engines[a.ID]
 	if e == nil {
 		e = newEngine(a.ID, a.Pool)
@@ -217,19 +217,19 @@
 	e.inMemory, e.onDisk = setOf(a.InMemory), setOf(a.OnDisk)
 	switch e.phase {
 	case phaseUnknown:
-		e.learn(a.Held, now)
+		e.learn(a.Loaded, now)
 	case phaseKnown:
 		// Nobody knows how old an announcement is that a cut held up, nor after how many
 		// orders it was said. An order by the count that a report told and by models and
 		// adapters that an older word told is not refused, and ends an engine that has no
 		// room for what it brings. A report tells both as of one moment.
-		if said.Sub(e.touched) > beatLag && !e.holdsJust(a.Held) {
-			d.cfg.Log.Info("engine announces other models", "server", e.id, "sequence", a.Sequence, "announced", heldNames(a.Held), "believed", heldNames(e.views()))
+		if said.Sub(e.touched) > beatLag && !e.holdsJust(a.Loaded) {
+			d.cfg.Log.Info("engine announces other models", "server", e.id, "sequence", a.Sequence, "announced", heldNames(a.Loaded), "believed", heldNames(e.views()))
 			e.phase = phaseUnknown
 		}
 	case phaseWorking:
 		// A word that a control host heard before the order shows what was before it.
-		if said.After(e.given) && d.seenDone(e, a.Held) {
+		if said.After(e.given) && d.seenDone(e, a.Loaded) {
 			d.finish(e, now)
 		}
 	case phaseGiving, phaseUncertain:
@@ -276,7 +276,7 @@
 
 // publish tells the entries what an engine holds. Until the first report it is
 // what the engine said itself.
-func (d *Driver) publish(e *engine) { d.cfg.Roster.Hold(e.id, e.views()) }
+func (d *Driver) publish(e *engine) { d.cfg.Roster.SetModels(e.id, e.views()) }
 
 // round does what is due, and returns the number of engines.
 func (d *Driver) round() int {
@@ -321,14 +321,14 @@
 			continue
 		}
 		d.told[b.Model] = now
-		d.cfg.Log.Info("load blocked", "model", b.Model, "rate", b.Rate, "engines-busy", b.Busy, "engines-holding", b.Holding,
-			"engines-full", b.Full, "engines-store-paced", b.Store)
+		d.cfg.Log.Info("load blocked", "model", b.Model, "rate", b.Rate, "engines-busy", b.Busy, "engines-holding", b.Loaded,
+			"engines-full", b.Full, "engines-store-paced", b.StoreLimited)
 	}
 }
 
-// Follow notes at once whether this host leads; what it hears from then on
+// RefreshLeadership notes at once whether this host leads; what it hears from then on
 // belongs to the present leadership.
-func (d *Driver) Follow() {
+func (d *Driver) RefreshLeadership() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.follow(d.cfg.Now())
@@ -338,17 +338,17 @@
 // engines is worth nothing after another host may have given orders.
 func (d *Driver) follow(now time.Time) {
 	l := d.cfg.Leadership()
-	if l.Leads == d.leads && l.Term == d.term {
+	if l.IsLeader == d.leads && l.Term == d.term {
 		return
 	}
 	led, term := d.leads, d.term
-	d.leads, d.term = l.Leads, l.Term
-	if l.Leads {
+	d.leads, d.term = l.IsLeader, l.Term
+	if l.IsLeader {
 		d.since, d.token = now, 0
 		if l.Term == firstTerm {
 			d.since = now.Add(-d.cfg.LoadWindow)
 		}
-		d.cfg.Roster.Begin()
+		d.cfg.Roster.Reset()
 		d.engines, d.starts = map[string]*engine{}, map[string]int{}
 		d.leases = map[string]time.Time{}
 		d.demands = map[target]*demand{}
@@ -391,14 +391,14 @@
 
 func (d *Driver) input(p *pool, now time.Time) Input {
 	in := Input{
-		Now: now, MemoryMB: p.spec.GetMemoryMb(), Places: int(p.spec.GetAdapterPlaces()), Models: map[string]*Model{},
+		Now: now, MemoryMB: p.spec.GetMemoryMb(), AdapterSlots: int(p.spec.GetAdapterPlaces()), Models: map[string]*Model{},
 	}
 	for name, known := range p.models {
 		m := *known
-		m.Barred = d.barredFor(p.name, name, now) > 0
+		m.Suspended = d.barredFor(p.name, name, now) > 0
 		if x := d.demands[target{p.name, name, ""}]; x != nil {
-			m.Rate, m.Asked, m.Waiting = x.rateAt(now), x.asked, x.sum()
-			m.Read, m.Run = x.times()
+			m.Rate, m.LastRequested, m.Waiting = x.rateAt(now), x.asked, x.sum()
+			m.PrefillTime, m.RequestTime = x.times()
 		}
 		in.Models[name] = &m
 	}
@@ -416,31 +416,31 @@
 		}
 		m.Waiting += x.sum()
 		if !d.heldOrComing(t) {
-			in.Adapters = append(in.Adapters, AdapterDemand{Model: t.model, Adapter: t.adapter})
+			in.WaitingAdapters = append(in.WaitingAdapters, ModelRef{Model: t.model, Adapter: t.adapter})
 		}
 	}
-	slices.SortFunc(in.Adapters, func(a, b AdapterDemand) int {
+	slices.SortFunc(in.WaitingAdapters, func(a, b ModelRef) int {
 		return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.Adapter, b.Adapter))
 	})
 	for _, e := range d.engines {
 		if e.pool != p.name {
 			continue
 		}
-		v := e.view(d.cfg.Roster.Runs)
-		v.Cleared, v.Late = e.clearedFor(now), e.lateLoads(now)
+		v := e.view(d.cfg.Roster.HasRequests)
+		v.RoomMadeFor, v.LateLoads = e.clearedFor(now), e.lateLoads(now)
 		if now.Before(e.notBefore) || e.holder.Host == "" || now.Before(e.ordersFrom) || now.Before(e.unheard) {
 			v.Busy = true
 		}
 		if v.FromStore {
-			in.StoreRunning++
+			in.StoreLoadsRunning++
 			d.storeOf(p.name).running(e.atOnce, now.Sub(e.given), d.fromStore(e))
 		}
 		in.Slots = max(in.Slots, e.slots)
 		in.Engines = append(in.Engines, v)
 	}
 	slices.SortFunc(in.Engines, func(a, b *Engine) int { return cmp.Compare(a.ID, b.ID) })
-	in.StoreAtOnce = d.storeOf(p.name).atOnce()
-	in.StoreLoads = d.storeLoads(p, in.StoreRunning, now)
+	in.StoreConcurrency = d.storeOf(p.name).atOnce()
+	in.StoreLoadsAllowed = d.storeLoads(p, in.StoreLoadsRunning, now)
 	return in
 }
 
--- a/internal/loading/driver_test.go
+++ b/internal/loading/driver_test.go
@@ -38,7 +38,7 @@
 	s       *site
 	drivers []*loading.Driver
 	rosters []*roster.Roster
-	hands   []*loading.Hand
+	hands   []*loading.Sender
 
 	mu     sync.Mutex
 	leader int
@@ -56,7 +56,7 @@
 func (h *hosts) leads(i int) loading.Leadership {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return loading.Leadership{Leads: h.leader == i, Term: h.term}
+	return loading.Leadership{IsLeader: h.leader == i, Term: h.term}
 }
 
 func (h *hosts) elect(i int) {
@@ -92,8 +92,8 @@
 // holdersAt is the log as the host at an index reaches it.
 func (h *hosts) holdersAt(i int) loading.Holders {
 	return loading.Holders{
-		Of: h.of,
-		Recorded: func() []string {
+		Get: h.of,
+		Servers: func() []string {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			return slices.Collect(maps.Keys(h.holders))
@@ -113,19 +113,19 @@
 			}
 			return nil
 		},
-		Give: func(ctx context.Context, holder string, term uint64, address string, o loading.Order) (loading.Outcome, error) {
+		SendOrder: func(ctx context.Context, holder string, term uint64, address string, o loading.Order) (loading.Outcome, error) {
 			to := slices.IndexFunc([]string{hostName(0), hostName(1), hostName(2)}, func(n string) bool { return n == holder })
 			if !h.reaches(i, to) {
 				// The partition may hold the call up until it heals.
 				h.s.mu.Lock()
 				late := time.Duration(h.s.random.IntN(8000)) * time.Millisecond
 				h.s.mu.Unlock()
-				time.AfterFunc(late, func() { _, _ = h.hands[to].Give(context.Background(), term, address, o) })
+				time.AfterFunc(late, func() { _, _ = h.hands[to].Send(context.Background(), term, address, o) })
 				<-ctx.Done()
-				return loading.OutcomeUnknown, errors.Newf("cut off: %w", loading.ErrNoHolder)
+				return loading.OutcomeUnknown, errors.Newf("cut off: %w", loading.ErrNoHolderReply)
 			}
 			time.Sleep(2 * time.Millisecond)
-			return h.hands[to].Give(ctx, term, address, o)
+			return h.hands[to].Send(ctx, term, address, o)
 		},
 	}
 }
@@ -150,19 +150,19 @@
 		})
 		h.rosters = append(h.rosters, r)
 		engines := s.reach()
-		h.hands = append(h.hands, loading.NewHand(loading.HandConfig{
-			Catch: func(context.Context) (uint64, error) { return h.catch(i) },
-			Holds: func(key string) bool { return h.of(incarnation.ServerOf(key)).Host == hostName(i) },
-			Give: func(ctx context.Context, address string, o loading.Order) (loading.Outcome, error) {
-				return engines.Give(ctx, address, hostName(i), o)
+		h.hands = append(h.hands, loading.NewSender(loading.SenderConfig{
+			CatchUp:  func(context.Context) (uint64, error) { return h.catch(i) },
+			IsHolder: func(key string) bool { return h.of(incarnation.ServerOf(key)).Host == hostName(i) },
+			SendOrder: func(ctx context.Context, address string, o loading.Order) (loading.Outcome, error) {
+				return engines.SendOrder(ctx, address, hostName(i), o)
 			},
 			Now: time.Now, Log: logr.Discard(),
 		}))
 		h.drivers = append(h.drivers, loading.NewDriver(loading.Config{
-			Leadership: func() loading.Leadership { return h.leads(i) }, Holders: h.holdersAt(i), Ask: engines.Ask,
+			Leadership: func() loading.Leadership { return h.leads(i) }, Holders: h.holdersAt(i), FetchReport: engines.FetchReport,
 			Roster: r, Pools: func() []*schema.Pool { return []*schema.Pool{s.pool} },
-			Known:      func() []*schema.KnownServer { return s.known },
-			OrderLease: lease, LoadWindow: 5 * time.Second, Now: time.Now, Log: logr.Discard(),
+			KnownServers: func() []*schema.KnownServer { return s.known },
+			OrderLease:   lease, LoadWindow: 5 * time.Second, Now: time.Now, Log: logr.Discard(),
 		}))
 	}
 	return h
@@ -170,19 +170,19 @@
 
 func (h *hosts) announce(s *site, sequence uint64) {
 	for i := range h.drivers {
-		if !h.leads(i).Leads {
+		if !h.leads(i).IsLeader {
 			continue
 		}
-		h.drivers[i].Follow()
+		h.drivers[i].RefreshLeadership()
 		for id := range s.engines {
 			s.mu.Lock()
-			a := roster.Announcement{ID: s.engines[id].key(), Pool: "llm", Address: id, Sequence: sequence, Held: s.engines[id].views()}
+			a := roster.Announcement{ID: s.engines[id].key(), Pool: "llm", Address: id, Sequence: sequence, Loaded: s.engines[id].views()}
 			for name := range s.engines[id].disk {
 				a.OnDisk = append(a.OnDisk, name)
 			}
 			s.mu.Unlock()
 			if h.rosters[i].Announce(a) {
-				h.drivers[i].Announced(a)
+				h.drivers[i].HandleAnnouncement(a)
 			}
 			if s.restarts {
 				require.True(s.t, h.rosters[i].Ready(a.ID), "seed %d: %s has announced itself", s.seed, a.ID)
@@ -269,8 +269,8 @@
 		}
 		h.announce(s, beat+1)
 		for j := range h.drivers {
-			if h.leads(j).Leads {
-				h.drivers[j].Demand("entry", demands)
+			if h.leads(j).IsLeader {
+				h.drivers[j].HandleDemand("entry", demands)
 			}
 		}
 		time.Sleep(1200 * time.Millisecond)
@@ -307,14 +307,14 @@
 		h := newHosts(s)
 		for beat := range uint64(12) {
 			h.announce(s, beat+1)
-			h.drivers[0].Demand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m3", Adapter: "a2", Waiting: 1, Arrived: 1}})
+			h.drivers[0].HandleDemand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m3", Adapter: "a2", Waiting: 1, Arrived: 1}})
 			time.Sleep(1200 * time.Millisecond)
 		}
 		s.mu.Lock()
 		held := s.engines["e2"].held["m3"]["a2"]
 		s.mu.Unlock()
 		require.True(t, held)
-		views, _ := h.rosters[0].Since(0)
+		views, _ := h.rosters[0].ServersSince(0)
 		found := false
 		for _, v := range views {
 			for _, m := range v.GetModels() {
@@ -352,8 +352,8 @@
 func (h *hosts) ask(sequence uint64) {
 	h.announce(h.s, sequence)
 	for i := range h.drivers {
-		if h.leads(i).Leads {
-			h.drivers[i].Demand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m3", Waiting: 1, Arrived: 1}})
+		if h.leads(i).IsLeader {
+			h.drivers[i].HandleDemand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m3", Waiting: 1, Arrived: 1}})
 		}
 	}
 }
@@ -412,8 +412,8 @@
 		}
 		s.known = append(s.known, &schema.KnownServer{Id: "app-1", Pool: "app", Address: "a"})
 		h.elect(1)
-		h.drivers[1].Follow()
-		h.drivers[1].Demand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m3", Waiting: 1, Arrived: 1}})
+		h.drivers[1].RefreshLeadership()
+		h.drivers[1].HandleDemand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m3", Waiting: 1, Arrived: 1}})
 		await(t, func() bool { return h.rosters[1].Ready("app-1") })
 		require.Less(t, await(t, func() bool { return s.holds("e2", "m3") }), 1500*time.Millisecond)
 		h.stop()
@@ -464,7 +464,7 @@
 		waiting := []*schema.ModelDemand{{Pool: "llm", Model: "m4", Arrived: 1, Waiting: 1}}
 		for beat := range uint64(20) {
 			h.announce(s, beat+1)
-			h.drivers[0].Demand("entry", waiting)
+			h.drivers[0].HandleDemand("entry", waiting)
 			time.Sleep(1200 * time.Millisecond)
 		}
 		require.Greater(t, forecast(h.drivers[0], "m4"), 5*time.Second)
--- a/internal/loading/ending_test.go
+++ b/internal/loading/ending_test.go
@@ -28,7 +28,7 @@
 		ask := func() {
 			beat++
 			h.announce(s, beat)
-			h.drivers[0].Demand("entry", []*schema.ModelDemand{
+			h.drivers[0].HandleDemand("entry", []*schema.ModelDemand{
 				{Pool: "llm", Model: "m3", Waiting: 1, Arrived: 1}, {Pool: "llm", Model: "m4", Waiting: 1, Arrived: 1},
 			})
 			time.Sleep(time.Second)
@@ -59,7 +59,7 @@
 		ask := func() {
 			beat++
 			h.announce(s, beat)
-			h.drivers[0].Demand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m3", Waiting: 30, Arrived: 30}})
+			h.drivers[0].HandleDemand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m3", Waiting: 30, Arrived: 30}})
 			time.Sleep(time.Second)
 		}
 		for range 9 {
@@ -101,7 +101,7 @@
 		h := newHosts(s)
 		for beat := range uint64(60) {
 			h.announce(s, beat+1)
-			h.drivers[0].Demand("entry", []*schema.ModelDemand{
+			h.drivers[0].HandleDemand("entry", []*schema.ModelDemand{
 				{Pool: "llm", Model: "m3", Waiting: 1, Arrived: 1}, {Pool: "llm", Model: "m5", Waiting: 1, Arrived: 1},
 			})
 			time.Sleep(time.Second)
@@ -124,7 +124,7 @@
 		ask := func() {
 			beat++
 			h.announce(s, beat)
-			h.drivers[0].Demand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m3", Waiting: 1, Arrived: 1}})
+			h.drivers[0].HandleDemand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m3", Waiting: 1, Arrived: 1}})
 			time.Sleep(time.Second)
 		}
 		for range 3 {
--- a/internal/loading/engine.go
+++ b/internal/loading/engine.go
@@ -41,7 +41,7 @@
 	// taken is the number of orders that the engine has taken; valid from
 	// phaseKnown on.
 	taken uint64
-	held  map[string]*Held
+	held  map[string]*LoadedModel
 	// inMemory and onDisk are the models that the engine has copies of.
 	inMemory map[string]bool
 	onDisk   map[string]bool
@@ -79,7 +79,7 @@
 
 // newEngine returns an engine of which nothing is known but its incarnation.
 func newEngine(id, pool string) *engine {
-	return &engine{id: id, server: incarnation.ServerOf(id), pool: pool, held: map[string]*Held{}}
+	return &engine{id: id, server: incarnation.ServerOf(id), pool: pool, held: map[string]*LoadedModel{}}
 }
 
 // heardHold keeps a model for a moment after a leader has first heard that an engine
@@ -90,17 +90,17 @@
 
 // learn takes what the engine holds from its own word.
 func (e *engine) learn(held []*schema.HeldModel, now time.Time) {
-	next := map[string]*Held{}
+	next := map[string]*LoadedModel{}
 	for _, h := range held {
 		old := e.held[h.GetName()]
 		if old == nil {
-			old = &Held{Model: h.GetName(), Since: now.Add(heardHold - minHold), Adapters: map[string]time.Time{}}
+			old = &LoadedModel{Model: h.GetName(), Since: now.Add(heardHold - minHold), Adapters: map[string]time.Time{}}
 		}
 		fresh := map[string]time.Time{}
 		for _, a := range h.GetAdapters() {
 			fresh[a] = old.Adapters[a]
 		}
-		next[h.GetName()] = &Held{Model: old.Model, Since: old.Since, Adapters: fresh}
+		next[h.GetName()] = &LoadedModel{Model: old.Model, Since: old.Since, Adapters: fresh}
 	}
 	e.held = next
 }
@@ -170,21 +170,21 @@
 // view is the engine as Decide sees it; runs tells whether a model has requests
 // there.
 func (e *engine) view(runs func(server, model string) bool) *Engine {
-	v := &Engine{ID: e.id, InMemory: e.inMemory, OnDisk: e.onDisk, Busy: e.phase != phaseKnown, Leaving: e.unloading()}
+	v := &Engine{ID: e.id, InMemory: e.inMemory, OnDisk: e.onDisk, Busy: e.phase != phaseKnown, Unloading: e.unloading()}
 	for _, name := range slices.Sorted(maps.Keys(e.held)) {
 		h := *e.held[name]
-		h.Runs = runs(e.id, name)
-		h.AdapterRuns = map[string]bool{}
+		h.InUse = runs(e.id, name)
+		h.AdapterInUse = map[string]bool{}
 		for a := range h.Adapters {
-			h.AdapterRuns[a] = h.Runs && runs(e.id, name+"/"+a)
+			h.AdapterInUse[a] = h.InUse && runs(e.id, name+"/"+a)
 		}
-		v.Held = append(v.Held, h)
+		v.Loaded = append(v.Loaded, h)
 	}
 	if e.phase > phaseKnown && e.order.Adapter == "" {
 		if e.order.Load {
-			v.Coming, v.FromStore = e.order.Model, e.fromStore()
+			v.Incoming, v.FromStore = e.order.Model, e.fromStore()
 		} else {
-			v.Coming = e.order.For
+			v.Incoming = e.order.RoomFor
 		}
 	}
 	return v
@@ -197,7 +197,7 @@
 	switch {
 	case o.Load && o.Adapter == "":
 		if e.held[o.Model] == nil {
-			e.held[o.Model] = &Held{Model: o.Model, Since: now, Adapters: map[string]time.Time{}}
+			e.held[o.Model] = &LoadedModel{Model: o.Model, Since: now, Adapters: map[string]time.Time{}}
 		}
 		e.inMemory[o.Model], e.onDisk[o.Model] = true, true
 	case o.Load:
@@ -206,7 +206,7 @@
 		}
 	case o.Adapter == "":
 		delete(e.held, o.Model)
-		e.cleared = o.For
+		e.cleared = o.RoomFor
 	default:
 		if h := e.held[o.Model]; h != nil {
 			delete(h.Adapters, o.Adapter)
--- a/internal/loading/giving.go
+++ b/internal/loading/giving.go
@@ -6,8 +6,8 @@
 
 	"github.com/cockroachdb/errors"
 
+	"fennelyard/internal/asynclog"
 	"fennelyard/internal/incarnation"
-	"fennelyard/internal/logbook"
 	"fennelyard/internal/schema"
 )
 
@@ -31,8 +31,8 @@
 	e.tries++
 	d.token++
 	o := Order{
-		Server: e.id, Load: e.order.Load, Model: e.order.Model, Adapter: e.order.Adapter, Taken: e.taken,
-		Token: d.term<<tokenBits | d.token,
+		Server: e.id, Load: e.order.Load, Model: e.order.Model, Adapter: e.order.Adapter, OrdersTaken: e.taken,
+		FencingToken: d.term<<tokenBits | d.token,
 	}
 	if e.order.FromStore {
 		d.begun[e.pool] = append(d.begun[e.pool], now)
@@ -44,7 +44,7 @@
 		// The holder asks who leads and then the engine.
 		ctx, cancel := context.WithTimeout(context.Background(), confirmWait+orderWait)
 		defer cancel()
-		outcome, err := d.cfg.Holders.Give(ctx, holder, term, address, o)
+		outcome, err := d.cfg.Holders.SendOrder(ctx, holder, term, address, o)
 		d.answered(e, o, outcome, err)
 		d.wake()
 	}()
@@ -67,10 +67,10 @@
 	defer d.mu.Unlock()
 	now := d.cfg.Now()
 	d.cfg.Log.Info("order given", "server", o.Server, "load", o.Load, "model", o.Model, "adapter", o.Adapter,
-		"taken", o.Taken, "token", o.Token, "holder", e.holder.Host, "from-store", e.order.FromStore,
-		"reason", e.order.Reason.String(), "outcome", outcome.String(), "error", logbook.Text(err))
-	if d.cfg.Ordered != nil {
-		d.cfg.Ordered(outcome, o.Load, o.Adapter != "")
+		"taken", o.OrdersTaken, "token", o.FencingToken, "holder", e.holder.Host, "from-store", e.order.FromStore,
+		"reason", e.order.Reason.String(), "outcome", outcome.String(), "error", asynclog.ErrorText(err))
+	if d.cfg.ObserveOrder != nil {
+		d.cfg.ObserveOrder(outcome, o.Load, o.Adapter != "")
 	}
 	if d.engines[e.id] != e {
 		return
@@ -183,12 +183,12 @@
 // report asks an engine for a report. One of another start says nothing of this one,
 // whose announcement tells of it within a moment.
 func (d *Driver) report(ctx context.Context, address, id string) (Report, error) {
-	r, err := d.cfg.Ask(ctx, address, id)
+	r, err := d.cfg.FetchReport(ctx, address, id)
 	if err != nil {
 		return Report{}, err
 	}
-	if born := incarnation.Parse(id).Born; born != 0 && r.Born != 0 && r.Born != born {
-		return Report{}, errors.Newf("start %d: %w", r.Born, errOtherStart)
+	if born := incarnation.Parse(id).StartMs; born != 0 && r.StartMs != 0 && r.StartMs != born {
+		return Report{}, errors.Newf("start %d: %w", r.StartMs, errOtherStart)
 	}
 	return r, nil
 }
@@ -217,17 +217,17 @@
 		return
 	}
 	now := d.cfg.Now()
-	d.cfg.Log.Info("report", "server", e.id, "taken", r.Taken, "busy", r.Busy, "held", heldNames(r.Held))
+	d.cfg.Log.Info("report", "server", e.id, "taken", r.OrdersTaken, "busy", r.Busy, "held", heldNames(r.Loaded))
 	if r.Busy {
 		return
 	}
-	if asked == phaseWorking && d.seenDone(e, r.Held) {
+	if asked == phaseWorking && d.seenDone(e, r.Loaded) {
 		d.finish(e, now)
 	} else if asked == phaseWorking {
-		d.cfg.Log.Info("order not carried out", "server", e.id, "load", e.order.Load, "model", e.order.Model, "taken", r.Taken)
+		d.cfg.Log.Info("order not carried out", "server", e.id, "load", e.order.Load, "model", e.order.Model, "taken", r.OrdersTaken)
 	}
-	e.taken = r.Taken
-	e.learn(r.Held, now)
+	e.taken = r.OrdersTaken
+	e.learn(r.Loaded, now)
 	e.phase = phaseKnown
 	d.publish(e)
 }
--- a/internal/loading/hand_test.go
+++ b/internal/loading/hand_test.go
@@ -33,8 +33,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				var mu sync.Mutex
 				asked, gone := 0, 0
-				h := loading.NewHand(loading.HandConfig{
-					Catch: func(ctx context.Context) (uint64, error) {
+				h := loading.NewSender(loading.SenderConfig{
+					CatchUp: func(ctx context.Context) (uint64, error) {
 						mu.Lock()
 						asked++
 						mu.Unlock()
@@ -48,8 +48,8 @@
 						}
 						return 7, nil
 					},
-					Holds: func(string) bool { return true },
-					Give: func(context.Context, string, loading.Order) (loading.Outcome, error) {
+					IsHolder: func(string) bool { return true },
+					SendOrder: func(context.Context, string, loading.Order) (loading.Outcome, error) {
 						mu.Lock()
 						defer mu.Unlock()
 						gone++
@@ -62,7 +62,7 @@
 					wg.Go(func() {
 						time.Sleep(time.Duration(i%3) * time.Microsecond)
 						server := string(rune('a' + i))
-						_, err := h.Give(t.Context(), 7, "a:1", loading.Order{Server: server, Token: uint64(i + 1)})
+						_, err := h.Send(t.Context(), 7, "a:1", loading.Order{Server: server, FencingToken: uint64(i + 1)})
 						require.Equal(t, x.gone == 0, errors.Is(err, loading.ErrNotSent))
 					})
 				}
--- a/internal/loading/holders.go
+++ b/internal/loading/holders.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"fennelyard/internal/logbook"
+	"fennelyard/internal/asynclog"
 )
 
 // miss notes the answer to an order: those in a row that brought none are
@@ -21,7 +21,7 @@
 	if e.missed++; e.missed == 1 {
 		e.missedFrom = now
 	}
-	e.unheld = errors.Is(err, ErrNotSent) || errors.Is(err, ErrNoHolder)
+	e.unheld = errors.Is(err, ErrNotSent) || errors.Is(err, ErrNoHolderReply)
 }
 
 // lost reports whether an engine's holder seems to be gone, or cut off from it.
@@ -40,7 +40,7 @@
 // short while ago nobody knows when, and the lease begins with this leadership, or with
 // the change where this leader made it: to an earlier start of the engine's server.
 func (d *Driver) recall(e *engine) {
-	e.holder = d.cfg.Holders.Of(e.server)
+	e.holder = d.cfg.Holders.Get(e.server)
 	if e.holder.Host == "" || e.holder.Settled {
 		return
 	}
@@ -124,7 +124,7 @@
 	for _, e := range d.engines {
 		known[e.server] = true
 	}
-	for _, server := range d.cfg.Holders.Recorded() {
+	for _, server := range d.cfg.Holders.Servers() {
 		if !known[server] {
 			out = append(out, server)
 		}
@@ -141,7 +141,7 @@
 	defer d.mu.Unlock()
 	d.assigning = false
 	now := d.cfg.Now()
-	d.cfg.Log.Info("order holders recorded", "engines", len(changes), "error", logbook.Text(err))
+	d.cfg.Log.Info("order holders recorded", "engines", len(changes), "error", asynclog.ErrorText(err))
 	if err != nil {
 		return
 	}
@@ -155,7 +155,7 @@
 // hold goes on with the holder that is recorded, after a lease unless the change
 // is this leader's own and there was none before.
 func (d *Driver) hold(e *engine, c HolderChange, now time.Time) {
-	recorded := d.cfg.Holders.Of(e.server)
+	recorded := d.cfg.Holders.Get(e.server)
 	if recorded != c.To || !c.To.Settled {
 		// What the old holder sent last may still arrive for leaseMargin.
 		e.ordersFrom = now.Add(d.cfg.OrderLease + leaseMargin)
--- a/internal/loading/input.go
+++ b/internal/loading/input.go
@@ -8,64 +8,64 @@
 	MemoryMB  float64
 	AdapterMB float64
 	// Load times by where the engine finds the weights.
-	FromStore  time.Duration
-	FromDisk   time.Duration
-	FromMemory time.Duration
+	StoreLoadTime  time.Duration
+	DiskLoadTime   time.Duration
+	MemoryLoadTime time.Duration
 	// Rate is the number of requests a second that is expected in the seconds to
 	// come.
 	Rate float64
-	// Read is how long an engine reads one of its prompts; 0: not known.
-	Read time.Duration
-	// Run is how long an engine has one of its requests; 0: not known.
-	Run time.Duration
-	// Asked is when a request last came.
-	Asked time.Time
+	// PrefillTime is how long an engine reads one of its prompts; 0: not known.
+	PrefillTime time.Duration
+	// RequestTime is how long an engine has one of its requests; 0: not known.
+	RequestTime time.Duration
+	// LastRequested is when a request last came.
+	LastRequested time.Time
 	// Waiting is the number of requests that wait for a replica.
 	Waiting int
-	// Barred is set while the model is not to be loaded, as engines ended under its loads.
-	Barred bool
+	// Suspended is set while the model is not to be loaded, as engines ended under its loads.
+	Suspended bool
 	// Adapters are the names of its adapters, and AdapterRate the requests a second of
 	// those that are asked for.
 	Adapters    []string
 	AdapterRate map[string]float64
 }
 
-// Held is a model in an engine's memory.
-type Held struct {
+// LoadedModel is a model in an engine's memory.
+type LoadedModel struct {
 	Model string
 	Since time.Time
-	// Runs is set while requests for it are at the engine.
-	Runs bool
+	// InUse is set while requests for it are at the engine.
+	InUse bool
 	// Adapters tells when each adapter was last asked for, and AdapterRuns which of
 	// them have requests at the engine.
-	Adapters    map[string]time.Time
-	AdapterRuns map[string]bool
+	Adapters     map[string]time.Time
+	AdapterInUse map[string]bool
 }
 
 // Engine is an engine that takes new work.
 type Engine struct {
 	ID       string
-	Held     []Held
+	Loaded   []LoadedModel
 	InMemory map[string]bool
 	OnDisk   map[string]bool
 	// Busy is set while a model's order is under way or its outcome is not known.
 	Busy bool
-	// Coming is the model that the order under way loads or makes room for.
-	Coming string
-	// Leaving is the model that the order under way unloads.
-	Leaving string
+	// Incoming is the model that the order under way loads or makes room for.
+	Incoming string
+	// Unloading is the model that the order under way unloads.
+	Unloading string
 	// FromStore is set while the load under way is from the weight store.
 	FromStore bool
-	// Cleared is the model that room was made for a moment ago; "": none.
-	Cleared string
-	// Late are the models, and adapters, that orders to earlier starts of the server may
+	// RoomMadeFor is the model that room was made for a moment ago; "": none.
+	RoomMadeFor string
+	// LateLoads are the models, and adapters, that orders to earlier starts of the server may
 	// yet bring. They must have room, or the engine ends.
-	Late []AdapterDemand
+	LateLoads []ModelRef
 }
 
-// AdapterDemand is an adapter that requests wait for, or that may come; without Adapter
+// ModelRef is an adapter that requests wait for, or that may come; without Adapter
 // the model itself.
-type AdapterDemand struct {
+type ModelRef struct {
 	Model   string
 	Adapter string
 }
@@ -75,18 +75,18 @@
 	Now time.Time
 	// MemoryMB and Places are each engine's memory and places for adapters, and Slots
 	// how many requests it works on at once; 0: not known.
-	MemoryMB float64
-	Places   int
-	Slots    int
-	Models   map[string]*Model
-	Engines  []*Engine
-	Adapters []AdapterDemand
-	// StoreLoads is how many loads from the weight store may begin now.
-	StoreLoads int
-	// StoreAtOnce is how many the store is taken to serve at full speed.
-	StoreAtOnce int
-	// StoreRunning is how many are under way.
-	StoreRunning int
+	MemoryMB        float64
+	AdapterSlots    int
+	Slots           int
+	Models          map[string]*Model
+	Engines         []*Engine
+	WaitingAdapters []ModelRef
+	// StoreLoadsAllowed is how many loads from the weight store may begin now.
+	StoreLoadsAllowed int
+	// StoreConcurrency is how many the store is taken to serve at full speed.
+	StoreConcurrency int
+	// StoreLoadsRunning is how many are under way.
+	StoreLoadsRunning int
 }
 
 //go:generate go tool stringer -type=Reason -linecomment
@@ -112,8 +112,8 @@
 	Load    bool
 	Model   string
 	Adapter string
-	// For is the model that an unload makes room for.
-	For string
+	// RoomFor is the model that an unload makes room for.
+	RoomFor string
 	// FromStore is set for a load that the weight store will serve.
 	FromStore bool
 }
@@ -126,5 +126,5 @@
 	// Busy engines have another order under way, Holding ones have none and hold the
 	// model, at Full ones nothing may go for it, and Store ones would load it from the
 	// weight store, whose pace is used up.
-	Busy, Holding, Full, Store int
+	Busy, Loaded, Full, StoreLimited int
 }
--- a/internal/loading/late.go
+++ b/internal/loading/late.go
@@ -96,7 +96,7 @@
 // an earlier leader to a start before may still come. What that leader gave is not known,
 // and neither is whether there was such a start: it may be recorded no longer.
 func (d *Driver) mayFollowStart(e *engine, now time.Time) bool {
-	born := incarnation.Parse(e.id).Born
+	born := incarnation.Parse(e.id).StartMs
 	if !d.leads || d.term == firstTerm || now.Sub(d.since) > orderFlight || born == 0 {
 		return false
 	}
@@ -105,11 +105,11 @@
 
 // lateLoads returns the models and adapters that may yet come to an engine by orders to
 // earlier starts.
-func (e *engine) lateLoads(now time.Time) []AdapterDemand {
+func (e *engine) lateLoads(now time.Time) []ModelRef {
 	e.late = recent(e.late, now)
-	var out []AdapterDemand
+	var out []ModelRef
 	for _, l := range e.late {
-		if x := (AdapterDemand{Model: l.model, Adapter: l.adapter}); !slices.Contains(out, x) {
+		if x := (ModelRef{Model: l.model, Adapter: l.adapter}); !slices.Contains(out, x) {
 			out = append(out, x)
 		}
 	}
