--- a/internal/loading/late_test.go
+++ b/internal/loading/late_test.go
@@ -15,22 +15,22 @@
 // be carried out. An engine that holds more than fits ends, with every answer that it is
 // at: what may come has its room, and what it may bring back is not given up for another.
 func TestRoomIsKeptForLateLoads(t *testing.T) {
-	late := func(e *loading.Engine, x ...loading.AdapterDemand) *loading.Engine {
-		e.Late = x
+	late := func(e *loading.Engine, x ...loading.ModelRef) *loading.Engine {
+		e.LateLoads = x
 		return e
 	}
-	modelC, a9 := loading.AdapterDemand{Model: "c"}, loading.AdapterDemand{Model: "a", Adapter: "a9"}
+	modelC, a9 := loading.ModelRef{Model: "c"}, loading.ModelRef{Model: "a", Adapter: "a9"}
 	models := []*loading.Model{model("a", nil), model("b", waiting), model("c", nil)}
 	full := func() *loading.Engine {
 		e := engine("e1", "a")
 		for i, name := range []string{"a1", "a2", "a3", "a4", "a5", "a6", "a7"} {
-			e.Held[0].Adapters[name] = now.Add(time.Duration(i) * time.Second)
+			e.Loaded[0].Adapters[name] = now.Add(time.Duration(i) * time.Second)
 		}
 		return e
 	}
 	wantsAdapter := func(e *loading.Engine) loading.Input {
 		in := input([]*loading.Model{model("a", nil)}, e)
-		in.Adapters = []loading.AdapterDemand{{Model: "a", Adapter: "a8"}}
+		in.WaitingAdapters = []loading.ModelRef{{Model: "a", Adapter: "a8"}}
 		return in
 	}
 	for name, x := range map[string]struct {
@@ -39,7 +39,7 @@
 	}{
 		"nothing is late":                   {input(models, engine("e1", "a")), true},
 		"a late model takes the room":       {input(models, late(engine("e1", "a"), modelC)), false},
-		"a late model that is there":        {input(models, late(engine("e1", "a"), loading.AdapterDemand{Model: "a"})), true},
+		"a late model that is there":        {input(models, late(engine("e1", "a"), loading.ModelRef{Model: "a"})), true},
 		"the last place is free":            {wantsAdapter(full()), true},
 		"a late adapter has the last place": {wantsAdapter(late(full(), a9)), false},
 	} {
@@ -52,7 +52,7 @@
 			require.Equal(t, x.loads, loads, "%+v", actions)
 		})
 	}
-	twice := late(engine("e1", "a", "c"), loading.AdapterDemand{Model: "a"}, modelC)
+	twice := late(engine("e1", "a", "c"), loading.ModelRef{Model: "a"}, modelC)
 	actions, _ := loading.Decide(input(models, twice))
 	require.Empty(t, actions)
 }
@@ -61,18 +61,18 @@
 // one to the next start has gone. The engine would see its leader's orders run backwards.
 func TestHeldUpOrderDoesNotFollowOneToTheNextStart(t *testing.T) {
 	sent := 0
-	h := loading.NewHand(loading.HandConfig{
-		Catch: func(context.Context) (uint64, error) { return 2, nil },
-		Holds: func(string) bool { return true },
-		Give: func(context.Context, string, loading.Order) (loading.Outcome, error) {
+	h := loading.NewSender(loading.SenderConfig{
+		CatchUp:  func(context.Context) (uint64, error) { return 2, nil },
+		IsHolder: func(string) bool { return true },
+		SendOrder: func(context.Context, string, loading.Order) (loading.Outcome, error) {
 			sent++
 			return loading.OutcomeTaken, nil
 		},
 		Now: time.Now, Log: logr.Discard(),
 	})
-	_, err := h.Give(context.Background(), 2, "a:1", loading.Order{Server: "e1@2000", Token: 16})
+	_, err := h.Send(context.Background(), 2, "a:1", loading.Order{Server: "e1@2000", FencingToken: 16})
 	require.NoError(t, err)
-	_, err = h.Give(context.Background(), 2, "a:1", loading.Order{Server: "e1@1000", Token: 11})
+	_, err = h.Send(context.Background(), 2, "a:1", loading.Order{Server: "e1@1000", FencingToken: 11})
 	require.ErrorIs(t, err, loading.ErrNotSent)
 	require.Equal(t, 1, sent)
 }
--- a/internal/loading/need.go
+++ b/internal/loading/need.go
@@ -30,18 +30,18 @@
 		return 0
 	}
 	// The least n with r*r*read <= crowding*n*(n+1).
-	n := math.Sqrt(m.Rate*m.Rate*cmp.Or(m.Read, readAtFirst).Seconds()/crowding.Seconds()+0.25) - 0.5
+	n := math.Sqrt(m.Rate*m.Rate*cmp.Or(m.PrefillTime, readAtFirst).Seconds()/crowding.Seconds()+0.25) - 0.5
 	return max(int(math.Ceil(max(n, p.enginesFull(m)/fill/p.roomEach(m)))), 1)
 }
 
 // weigh works out how much of each engine's slots is in use.
 func (p *plan) weigh() {
 	for _, e := range p.in.Engines {
-		for _, h := range e.Held {
+		for _, h := range e.Loaded {
 			p.load[e] += p.shareAt(h.Model)
 		}
-		if e.Coming != "" && !holds(e, e.Coming) {
-			p.load[e] += p.shareAt(e.Coming)
+		if e.Incoming != "" && !holds(e, e.Incoming) {
+			p.load[e] += p.shareAt(e.Incoming)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 	if p.in.Slots == 0 {
 		return 0
 	}
-	return m.Rate * m.Run.Seconds() / float64(p.in.Slots)
+	return m.Rate * m.RequestTime.Seconds() / float64(p.in.Slots)
 }
 
 // fill is the part of its slots up to which an engine is given requests of one model:
--- a/internal/loading/order.go
+++ b/internal/loading/order.go
@@ -38,21 +38,21 @@
 	Load    bool
 	Model   string
 	Adapter string
-	// Taken is how many orders the engine must have taken before this one.
-	Taken uint64
-	// Token grows with every order over all leaders.
-	Token uint64
+	// OrdersTaken is how many orders the engine must have taken before this one.
+	OrdersTaken uint64
+	// FencingToken grows with every order over all leaders.
+	FencingToken uint64
 }
 
 // Report is what an engine says of itself when asked.
 type Report struct {
-	Held []*schema.HeldModel
+	Loaded []*schema.HeldModel
 	// Busy is set while a model's order is under way.
 	Busy bool
-	// Taken is the number of orders that the engine has taken.
-	Taken uint64
-	// Born is the start that reports, in Unix milliseconds by its clock; 0: not told.
-	Born int64
+	// OrdersTaken is the number of orders that the engine has taken.
+	OrdersTaken uint64
+	// StartMs is the start that reports, in Unix milliseconds by its clock; 0: not told.
+	StartMs int64
 	// InMemory and OnDisk name the models that the engine has copies of.
 	InMemory []string
 	OnDisk   []string
@@ -60,10 +60,10 @@
 
 // Engines reaches the engines. Both functions are required.
 type Engines struct {
-	// Give sends an order under the name of the host that sends it.
-	Give func(ctx context.Context, address, holder string, o Order) (Outcome, error)
-	// Ask asks the engine of an incarnation's key for a report.
-	Ask func(ctx context.Context, address, server string) (Report, error)
+	// SendOrder sends an order under the name of the host that sends it.
+	SendOrder func(ctx context.Context, address, holder string, o Order) (Outcome, error)
+	// FetchReport asks the engine of an incarnation's key for a report.
+	FetchReport func(ctx context.Context, address, server string) (Report, error)
 }
 
 // Holder is the control host that gives an engine its orders.
@@ -83,19 +83,19 @@
 // Holders keeps each engine's order holder, by the server's id: an engine must not see
 // two holders take turns because it started again in between. All functions are required.
 type Holders struct {
-	// Of returns an engine's recorded holder, or the zero value.
-	Of func(server string) Holder
-	// Recorded returns the engines that have a holder.
-	Recorded func() []string
+	// Get returns an engine's recorded holder, or the zero value.
+	Get func(server string) Holder
+	// Servers returns the engines that have a holder.
+	Servers func() []string
 	// Hosts returns the hosts that may be holders.
 	Hosts func() []string
 	// Record records changes of holders, by engine, where From is what is recorded,
 	// and forgets some engines. Without an error it is durable at a quorum, and Of
 	// tells what became of it.
 	Record func(ctx context.Context, changes map[string]HolderChange, forgotten []string) error
-	// Give has an engine's holder give it an order. Its error is ErrNotSent where
+	// SendOrder has an engine's holder give it an order. Its error is ErrNotSent where
 	// the order did not leave.
-	Give func(ctx context.Context, host string, term uint64, address string, o Order) (Outcome, error)
+	SendOrder func(ctx context.Context, host string, term uint64, address string, o Order) (Outcome, error)
 }
 
 const (
--- a/internal/loading/plan.go
+++ b/internal/loading/plan.go
@@ -62,11 +62,11 @@
 // waits on.
 func (p *plan) useCleared() {
 	for _, e := range slices.Clone(p.free) {
-		m := p.in.Models[e.Cleared]
+		m := p.in.Models[e.RoomMadeFor]
 		if m == nil || holds(e, m.Name) || !p.lacks(m) || p.freeMemory(e) < m.MemoryMB {
 			continue
 		}
-		if p.fromStore(e, m) && p.in.StoreLoads <= 0 {
+		if p.fromStore(e, m) && p.in.StoreLoadsAllowed <= 0 {
 			continue
 		}
 		p.order(e, m, "", p.reason(m))
@@ -75,7 +75,7 @@
 
 // lacks reports whether a model is to be given one more replica.
 func (p *plan) lacks(m *Model) bool {
-	return !m.Barred && (m.Waiting > 0 && p.replicas[m.Name] == 0 || p.replicas[m.Name] < p.needed(m))
+	return !m.Suspended && (m.Waiting > 0 && p.replicas[m.Name] == 0 || p.replicas[m.Name] < p.needed(m))
 }
 
 // reason is why a model is given a replica.
@@ -94,12 +94,12 @@
 		if !e.Busy {
 			p.free = append(p.free, e)
 		}
-		if e.Coming != "" {
-			p.replicas[e.Coming]++
-			p.copies[e.Coming]++
+		if e.Incoming != "" {
+			p.replicas[e.Incoming]++
+			p.copies[e.Incoming]++
 		}
-		for _, h := range e.Held {
-			if h.Model != e.Leaving {
+		for _, h := range e.Loaded {
+			if h.Model != e.Unloading {
 				p.replicas[h.Model]++
 				p.holders[h.Model] = append(p.holders[h.Model], e)
 			}
@@ -176,10 +176,10 @@
 func (p *plan) possible(e *Engine, m *Model, why *Blocked) (victims []string, loss float64, ok bool) {
 	switch {
 	case holds(e, m.Name):
-		why.Holding++
+		why.Loaded++
 		return nil, 0, false
-	case p.fromStore(e, m) && p.in.StoreLoads <= 0:
-		why.Store++
+	case p.fromStore(e, m) && p.in.StoreLoadsAllowed <= 0:
+		why.StoreLimited++
 		return nil, 0, false
 	}
 	if victims, loss, ok = p.room(e, m); !ok {
@@ -198,13 +198,13 @@
 	p.replicas[m.Name]++
 	if victim != "" {
 		p.replicas[victim]--
-		p.out = append(p.out, Action{Reason: reason, Engine: e.ID, Model: victim, For: m.Name})
+		p.out = append(p.out, Action{Reason: reason, Engine: e.ID, Model: victim, RoomFor: m.Name})
 		return
 	}
 	store := p.fromStore(e, m)
 	if store {
-		p.in.StoreLoads--
-		p.in.StoreRunning++
+		p.in.StoreLoadsAllowed--
+		p.in.StoreLoadsRunning++
 	}
 	p.out = append(p.out, Action{Reason: reason, Engine: e.ID, Load: true, Model: m.Name, FromStore: store})
 }
--- a/internal/loading/plan_test.go
+++ b/internal/loading/plan_test.go
@@ -16,8 +16,8 @@
 // model is 30 GB, loads in 6 s from the store, 0.5 s from disk, 0.4 from memory.
 func model(name string, change func(*loading.Model)) *loading.Model {
 	m := &loading.Model{
-		Name: name, MemoryMB: 30000, AdapterMB: 40, FromStore: 6 * time.Second,
-		FromDisk: 500 * time.Millisecond, FromMemory: 400 * time.Millisecond, Asked: now.Add(-time.Hour),
+		Name: name, MemoryMB: 30000, AdapterMB: 40, StoreLoadTime: 6 * time.Second,
+		DiskLoadTime: 500 * time.Millisecond, MemoryLoadTime: 400 * time.Millisecond, LastRequested: now.Add(-time.Hour),
 	}
 	if change != nil {
 		change(m)
@@ -28,27 +28,29 @@
 func engine(id string, held ...string) *loading.Engine {
 	e := &loading.Engine{ID: id, InMemory: map[string]bool{}, OnDisk: map[string]bool{}}
 	for _, name := range held {
-		e.Held = append(e.Held, loading.Held{Model: name, Since: now.Add(-time.Hour), Adapters: map[string]time.Time{}})
+		e.Loaded = append(e.Loaded, loading.LoadedModel{Model: name, Since: now.Add(-time.Hour), Adapters: map[string]time.Time{}})
 		e.OnDisk[name] = true
 	}
 	return e
 }
 
 func input(models []*loading.Model, engines ...*loading.Engine) loading.Input {
-	in := loading.Input{Now: now, MemoryMB: 83000, Places: 8, Models: map[string]*loading.Model{}, Engines: engines, StoreLoads: 4}
+	in := loading.Input{Now: now, MemoryMB: 83000, AdapterSlots: 8, Models: map[string]*loading.Model{}, Engines: engines, StoreLoadsAllowed: 4}
 	for _, m := range models {
 		in.Models[m.Name] = m
 	}
 	return in
 }
 
-func waiting(m *loading.Model)            { m.Waiting, m.Asked = 1, now }
-func busy(r float64) func(*loading.Model) { return func(m *loading.Model) { m.Rate, m.Asked = r, now } }
+func waiting(m *loading.Model) { m.Waiting, m.LastRequested = 1, now }
+func busy(r float64) func(*loading.Model) {
+	return func(m *loading.Model) { m.Rate, m.LastRequested = r, now }
+}
 
 // served is a model whose prompts are short and whose requests run for a second.
 func served(r float64) func(*loading.Model) {
 	return func(m *loading.Model) {
-		m.Rate, m.Asked, m.Read, m.Run = r, now, time.Millisecond, time.Second
+		m.Rate, m.LastRequested, m.PrefillTime, m.RequestTime = r, now, time.Millisecond, time.Second
 	}
 }
 
@@ -56,12 +58,12 @@
 	onDisk := engine("e2", "other")
 	onDisk.OnDisk["m"] = true
 	ordered := engine("e1")
-	ordered.Busy, ordered.Coming, ordered.FromStore = true, "m", true
+	ordered.Busy, ordered.Incoming, ordered.FromStore = true, "m", true
 	full := engine("e1", "hot", "old")
 	young := engine("e1", "a", "b")
-	young.Held[0].Since, young.Held[1].Since = now, now
+	young.Loaded[0].Since, young.Loaded[1].Since = now, now
 	running := engine("e1", "other")
-	running.Held[0].Runs = true
+	running.Loaded[0].InUse = true
 	running.OnDisk["m"] = true
 	small := input(nil).MemoryMB - 45000
 	onlyCopy, twoCopies := engine("e1"), engine("e2")
@@ -69,7 +71,7 @@
 	twoCopies.OnDisk["known"], onlyCopy.OnDisk["known"] = true, true
 	withAdapters := engine("e1", "m")
 	for i := range 8 {
-		withAdapters.Held[0].Adapters[fmt.Sprint("a", i)] = now.Add(time.Duration(i) * time.Second)
+		withAdapters.Loaded[0].Adapters[fmt.Sprint("a", i)] = now.Add(time.Duration(i) * time.Second)
 	}
 	for name, x := range map[string]struct {
 		in   loading.Input
@@ -89,7 +91,7 @@
 		},
 		"makes room by what was not asked for the longest": {
 			input([]*loading.Model{model("m", waiting), model("hot", busy(1)), model("old", nil)}, full),
-			[]loading.Action{{Engine: "e1", Model: "old", For: "m"}},
+			[]loading.Action{{Engine: "e1", Model: "old", RoomFor: "m"}},
 		},
 		"a model that was loaded just now stays": {
 			input([]*loading.Model{model("m", waiting), model("a", nil), model("b", nil)}, young),
@@ -137,9 +139,9 @@
 		"room that was made for a model is not given back": {
 			func() loading.Input {
 				e := engine("e1", "hot")
-				e.Cleared, e.OnDisk["old"], e.OnDisk["m"] = "m", true, true
+				e.RoomMadeFor, e.OnDisk["old"], e.OnDisk["m"] = "m", true, true
 				in := input([]*loading.Model{model("m", waiting), model("hot", busy(1)), model("old", func(m *loading.Model) {
-					m.Waiting, m.Rate, m.Asked = 3, 0.2, now
+					m.Waiting, m.Rate, m.LastRequested = 3, 0.2, now
 				})}, e)
 				in.MemoryMB = 65000
 				return in
@@ -149,7 +151,7 @@
 		"the store's pace binds": {
 			func() loading.Input {
 				in := input([]*loading.Model{model("m", waiting)}, engine("e1"))
-				in.StoreLoads = 0
+				in.StoreLoadsAllowed = 0
 				return in
 			}(),
 			nil,
@@ -157,15 +159,15 @@
 		"an adapter takes the place of the one not asked for the longest": {
 			func() loading.Input {
 				in := input([]*loading.Model{model("m", busy(1))}, withAdapters)
-				in.Adapters = []loading.AdapterDemand{{Model: "m", Adapter: "a9"}}
+				in.WaitingAdapters = []loading.ModelRef{{Model: "m", Adapter: "a9"}}
 				return in
 			}(),
-			[]loading.Action{{Engine: "e1", Model: "m", Adapter: "a0", For: "m"}},
+			[]loading.Action{{Engine: "e1", Model: "m", Adapter: "a0", RoomFor: "m"}},
 		},
 		"an adapter with a free place goes before the load of another model": {
 			func() loading.Input {
 				in := input([]*loading.Model{model("m", busy(1)), model("other", waiting)}, engine("e1", "m"))
-				in.Adapters = []loading.AdapterDemand{{Model: "m", Adapter: "a9"}}
+				in.WaitingAdapters = []loading.ModelRef{{Model: "m", Adapter: "a9"}}
 				return in
 			}(),
 			[]loading.Action{{Engine: "e1", Load: true, Model: "m", Adapter: "a9"}},
@@ -173,7 +175,7 @@
 		"an adapter that another must go for comes after the load of another model": {
 			func() loading.Input {
 				in := input([]*loading.Model{model("m", busy(1)), model("other", waiting)}, withAdapters)
-				in.Adapters = []loading.AdapterDemand{{Model: "m", Adapter: "a9"}}
+				in.WaitingAdapters = []loading.ModelRef{{Model: "m", Adapter: "a9"}}
 				return in
 			}(),
 			[]loading.Action{{Engine: "e1", Load: true, Model: "other", FromStore: true}},
@@ -182,19 +184,19 @@
 			func() loading.Input {
 				e := engine("e1", "m")
 				for i := range 8 {
-					e.Held[0].Adapters[fmt.Sprint("a", i)] = now.Add(time.Duration(i) * time.Second)
+					e.Loaded[0].Adapters[fmt.Sprint("a", i)] = now.Add(time.Duration(i) * time.Second)
 				}
-				e.Held[0].AdapterRuns = map[string]bool{"a0": true, "a1": true}
+				e.Loaded[0].AdapterInUse = map[string]bool{"a0": true, "a1": true}
 				in := input([]*loading.Model{model("m", busy(1))}, e)
-				in.Adapters = []loading.AdapterDemand{{Model: "m", Adapter: "a9"}}
+				in.WaitingAdapters = []loading.ModelRef{{Model: "m", Adapter: "a9"}}
 				return in
 			}(),
-			[]loading.Action{{Engine: "e1", Model: "m", Adapter: "a2", For: "m"}},
+			[]loading.Action{{Engine: "e1", Model: "m", Adapter: "a2", RoomFor: "m"}},
 		},
 		"a busy model's new replica takes the adapters that are asked for most": {
 			func() loading.Input {
 				first := engine("e1", "m")
-				first.Held[0].Adapters["a1"], first.Held[0].Adapters["a2"] = now, now
+				first.Loaded[0].Adapters["a1"], first.Loaded[0].Adapters["a2"] = now, now
 				first.Busy = true
 				return input([]*loading.Model{model("m", func(m *loading.Model) {
 					busy(1)(m)
@@ -223,7 +225,7 @@
 	busyEngine.Busy = true
 	in := input([]*loading.Model{model("m", waiting), model("hot", busy(1)), model("warm", busy(1))},
 		busyEngine, engine("e2", "hot", "warm"))
-	in.StoreLoads = 1
+	in.StoreLoadsAllowed = 1
 	_, blocked := loading.Decide(in)
 	require.Len(t, blocked, 1)
 	require.Equal(t, loading.Blocked{Model: "m", Busy: 1, Full: 1}, blocked[0])
@@ -253,19 +255,19 @@
 				continue
 			}
 			sum, adapters := 0.0, 0
-			for _, h := range e.Held {
+			for _, h := range e.Loaded {
 				sum += models[h.Model].MemoryMB + 40*float64(len(h.Adapters))
 				adapters += len(h.Adapters)
 			}
 			if a.Adapter != "" {
-				require.Less(t, adapters, in.Places, "seed %d", seed)
+				require.Less(t, adapters, in.AdapterSlots, "seed %d", seed)
 				sum += 40
 			} else {
 				sum += models[a.Model].MemoryMB
 			}
 			require.LessOrEqual(t, sum, in.MemoryMB, "seed %d: %s holds too much", seed, a.Engine)
 		}
-		require.LessOrEqual(t, stores, in.StoreLoads, "seed %d", seed)
+		require.LessOrEqual(t, stores, in.StoreLoadsAllowed, "seed %d", seed)
 	}
 }
 
@@ -275,23 +277,23 @@
 		models = append(models, model(fmt.Sprint("m", i), func(m *loading.Model) {
 			m.MemoryMB = []float64{16100, 34300}[r.IntN(2)]
 			m.Rate, m.Waiting = r.Float64()*r.Float64()*8, r.IntN(3)*r.IntN(2)
-			m.Asked = now.Add(-time.Duration(r.IntN(20)) * time.Second)
+			m.LastRequested = now.Add(-time.Duration(r.IntN(20)) * time.Second)
 			m.Adapters = []string{"a1", "a2", "a3"}
 		}))
 	}
 	in := input(models)
-	in.StoreLoads, in.StoreRunning = r.IntN(4), r.IntN(3)
+	in.StoreLoadsAllowed, in.StoreLoadsRunning = r.IntN(4), r.IntN(3)
 	for i := range 5 {
 		e := engine(fmt.Sprint("e", i))
 		free := in.MemoryMB - 320
 		for _, m := range models {
 			if m.MemoryMB <= free && r.IntN(3) == 0 {
 				free -= m.MemoryMB
-				h := loading.Held{Model: m.Name, Since: now.Add(-time.Duration(r.IntN(5)) * time.Second), Adapters: map[string]time.Time{}}
+				h := loading.LoadedModel{Model: m.Name, Since: now.Add(-time.Duration(r.IntN(5)) * time.Second), Adapters: map[string]time.Time{}}
 				if r.IntN(3) == 0 {
 					h.Adapters["a1"] = now
 				}
-				e.Held = append(e.Held, h)
+				e.Loaded = append(e.Loaded, h)
 			}
 			e.OnDisk[m.Name] = r.IntN(2) == 0
 		}
@@ -299,7 +301,7 @@
 		in.Engines = append(in.Engines, e)
 	}
 	for range r.IntN(4) {
-		in.Adapters = append(in.Adapters, loading.AdapterDemand{Model: fmt.Sprint("m", r.IntN(12)), Adapter: fmt.Sprint("a", 2+r.IntN(2))})
+		in.WaitingAdapters = append(in.WaitingAdapters, loading.ModelRef{Model: fmt.Sprint("m", r.IntN(12)), Adapter: fmt.Sprint("a", 2+r.IntN(2))})
 	}
 	return in
 }
@@ -321,7 +323,7 @@
 			if size.busy {
 				in.Slots = 12
 				for _, m := range in.Models {
-					m.Rate, m.Run, m.Read = 1.2, 900*time.Millisecond, 60*time.Millisecond
+					m.Rate, m.RequestTime, m.PrefillTime = 1.2, 900*time.Millisecond, 60*time.Millisecond
 				}
 			}
 			for b.Loop() {
@@ -338,14 +340,14 @@
 	var list []*loading.Model
 	for i := range models {
 		list = append(list, model(fmt.Sprint("m", i), func(m *loading.Model) {
-			m.Asked = now.Add(-time.Duration(r.IntN(20)) * time.Second)
+			m.LastRequested = now.Add(-time.Duration(r.IntN(20)) * time.Second)
 			if i < models/10 {
-				m.Rate, m.Waiting, m.Asked = 0.3, 1, now
+				m.Rate, m.Waiting, m.LastRequested = 0.3, 1, now
 			}
 		}))
 	}
 	in := input(list)
-	in.StoreLoads = 0
+	in.StoreLoadsAllowed = 0
 	for i := range engines {
 		held := func(i int) string { return fmt.Sprint("m", models/10+i%(models-models/10)) }
 		e := engine(fmt.Sprint("e", i), held(i), held(i+30))
--- a/internal/loading/pool.go
+++ b/internal/loading/pool.go
@@ -38,10 +38,10 @@
 	for _, s := range p.spec.GetModels() {
 		p.models[s.GetName()] = &Model{
 			Name: s.GetName(), MemoryMB: s.GetMemoryMb(), AdapterMB: s.GetAdapterMb(),
-			FromStore:  time.Duration(s.GetLoadStoreMs()) * time.Millisecond,
-			FromDisk:   time.Duration(s.GetLoadDiskMs()) * time.Millisecond,
-			FromMemory: time.Duration(s.GetLoadMemoryMs()) * time.Millisecond,
-			Adapters:   s.GetAdapters(),
+			StoreLoadTime:  time.Duration(s.GetLoadStoreMs()) * time.Millisecond,
+			DiskLoadTime:   time.Duration(s.GetLoadDiskMs()) * time.Millisecond,
+			MemoryLoadTime: time.Duration(s.GetLoadMemoryMs()) * time.Millisecond,
+			Adapters:       s.GetAdapters(),
 		}
 	}
 	return p
--- a/internal/loading/recall.go
+++ b/internal/loading/recall.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"fennelyard/internal/logbook"
+	"fennelyard/internal/asynclog"
 	"fennelyard/internal/roster"
 	"fennelyard/internal/schema"
 )
@@ -15,11 +15,11 @@
 // itself was sent all that waited, and the last was heard of 1.2 s later.
 func (d *Driver) recallServers(now time.Time) {
 	d.pools = poolsOf(d.cfg.Pools(), d.pools)
-	known := d.cfg.Known()
+	known := d.cfg.KnownServers()
 	d.cfg.Log.Info("servers recalled", "count", len(known))
 	for _, k := range known {
 		if d.pools[k.GetPool()] == nil {
-			d.cfg.Roster.Recall(announcementOf(k))
+			d.cfg.Roster.Restore(announcementOf(k))
 			continue
 		}
 		term := d.term
@@ -54,15 +54,15 @@
 	defer cancel()
 	r, err := d.report(ctx, k.GetAddress(), k.GetId())
 	if err != nil {
-		d.cfg.Log.Info("engine not recalled", "server", k.GetId(), "error", logbook.Text(err))
+		d.cfg.Log.Info("engine not recalled", "server", k.GetId(), "error", asynclog.ErrorText(err))
 		return
 	}
 	a := announcementOf(k)
-	a.Held, a.InMemory, a.OnDisk = r.Held, r.InMemory, r.OnDisk
-	if !d.recalls(term) || !d.cfg.Roster.Recall(a) {
+	a.Loaded, a.InMemory, a.OnDisk = r.Loaded, r.InMemory, r.OnDisk
+	if !d.recalls(term) || !d.cfg.Roster.Restore(a) {
 		return
 	}
-	d.Announced(a)
+	d.HandleAnnouncement(a)
 	d.mu.Lock()
 	e := d.engines[a.ID]
 	d.mu.Unlock()
--- a/internal/loading/recall_test.go
+++ b/internal/loading/recall_test.go
@@ -28,13 +28,13 @@
 			AnnounceEvery: time.Second, Departed: func(string) bool { return false }, Now: time.Now, Log: logr.Discard(),
 		})
 		d := loading.NewDriver(loading.Config{
-			Leadership: func() loading.Leadership { return loading.Leadership{Leads: true, Term: 2} },
+			Leadership: func() loading.Leadership { return loading.Leadership{IsLeader: true, Term: 2} },
 			Holders: loading.Holders{
-				Of: func(string) loading.Holder { return loading.Holder{} }, Recorded: func() []string { return nil },
+				Get: func(string) loading.Holder { return loading.Holder{} }, Servers: func() []string { return nil },
 				Hosts:  func() []string { return nil },
 				Record: func(context.Context, map[string]loading.HolderChange, []string) error { return nil },
 			},
-			Ask: func(_ context.Context, _, server string) (loading.Report, error) {
+			FetchReport: func(_ context.Context, _, server string) (loading.Report, error) {
 				mu.Lock()
 				asked[server]++
 				atOnce++
@@ -47,7 +47,7 @@
 				return loading.Report{}, nil
 			},
 			Roster: r,
-			Known: func() []*schema.KnownServer {
+			KnownServers: func() []*schema.KnownServer {
 				var out []*schema.KnownServer
 				for i := range engines / 2 {
 					out = append(out, &schema.KnownServer{Id: fmt.Sprint("e", i), Pool: "llm", Address: fmt.Sprint("a:", i)})
@@ -58,11 +58,11 @@
 			OrderLease: lease, LoadWindow: 5 * time.Second, Now: time.Now, Log: logr.Discard(),
 		})
 		defer d.Stop()
-		d.Follow()
+		d.RefreshLeadership()
 		for i := range engines {
 			a := roster.Announcement{ID: fmt.Sprint("e", i), Pool: "llm", Address: fmt.Sprint("a:", i), Sequence: 1}
 			if i >= engines/2 && r.Announce(a) {
-				d.Announced(a)
+				d.HandleAnnouncement(a)
 			}
 		}
 		took := await(t, func() bool {
--- a/internal/loading/room.go
+++ b/internal/loading/room.go
@@ -16,13 +16,13 @@
 )
 
 func holds(e *Engine, model string) bool {
-	return slices.ContainsFunc(e.Held, func(h Held) bool { return h.Model == model })
+	return slices.ContainsFunc(e.Loaded, func(h LoadedModel) bool { return h.Model == model })
 }
 
 // used returns the memory that an engine's models take.
 func (p *plan) used(e *Engine) float64 {
 	var sum float64
-	for _, h := range e.Held {
+	for _, h := range e.Loaded {
 		sum += p.sizeOf(h.Model)
 	}
 	return sum
@@ -32,7 +32,7 @@
 // those that are there and those that late orders may bring.
 func (p *plan) freeMemory(e *Engine) float64 {
 	free := p.in.MemoryMB - p.reserved - p.used(e)
-	for _, l := range e.Late {
+	for _, l := range e.LateLoads {
 		if l.Adapter == "" && !holds(e, l.Model) {
 			free -= p.sizeOf(l.Model)
 		}
@@ -42,8 +42,8 @@
 
 // freePlaces is the same for places of adapters.
 func (p *plan) freePlaces(e *Engine) int {
-	free := p.in.Places - adapters(e)
-	for _, l := range e.Late {
+	free := p.in.AdapterSlots - adapters(e)
+	for _, l := range e.LateLoads {
 		if l.Adapter != "" && !holdsAdapter(e, l) {
 			free--
 		}
@@ -51,8 +51,8 @@
 	return free
 }
 
-func holdsAdapter(e *Engine, l AdapterDemand) bool {
-	return slices.ContainsFunc(e.Held, func(h Held) bool {
+func holdsAdapter(e *Engine, l ModelRef) bool {
+	return slices.ContainsFunc(e.Loaded, func(h LoadedModel) bool {
 		_, there := h.Adapters[l.Adapter]
 		return h.Model == l.Model && there
 	})
@@ -65,7 +65,7 @@
 	for _, m := range p.in.Models {
 		largest = max(largest, m.AdapterMB)
 	}
-	return largest * float64(p.in.Places)
+	return largest * float64(p.in.AdapterSlots)
 }
 
 // room tells which models would have to go, in their order, and what that loses.
@@ -74,14 +74,14 @@
 	if free >= m.MemoryMB {
 		return nil, 0, true
 	}
-	var order []Held
-	for _, h := range e.Held {
+	var order []LoadedModel
+	for _, h := range e.Loaded {
 		// What a late order may bring back leaves no room.
-		if p.evictable(h, m) && !slices.Contains(e.Late, AdapterDemand{Model: h.Model}) {
+		if p.evictable(h, m) && !slices.Contains(e.LateLoads, ModelRef{Model: h.Model}) {
 			order = append(order, h)
 		}
 	}
-	slices.SortFunc(order, func(a, b Held) int {
+	slices.SortFunc(order, func(a, b LoadedModel) int {
 		return cmp.Or(cmp.Compare(p.value(a.Model), p.value(b.Model)), cmp.Compare(a.Model, b.Model))
 	})
 	for _, h := range order {
@@ -104,12 +104,12 @@
 	return p.in.MemoryMB
 }
 
-func (p *plan) evictable(h Held, m *Model) bool {
+func (p *plan) evictable(h LoadedModel, m *Model) bool {
 	old := p.in.Models[h.Model]
 	if old == nil {
 		return true
 	}
-	if p.in.Now.Sub(h.Since) < minHold || old.Waiting > 0 || h.Runs {
+	if p.in.Now.Sub(h.Since) < minHold || old.Waiting > 0 || h.InUse {
 		// An unload waits for the model's runs to end, and the engine takes no other
 		// order meanwhile.
 		return false
@@ -117,7 +117,7 @@
 	if p.replicas[h.Model] > max(p.needed(old), 1) {
 		return true
 	}
-	return p.in.Now.Sub(old.Asked) > askedGuard && (m.Waiting > 0 || old.Rate < m.Rate)
+	return p.in.Now.Sub(old.LastRequested) > askedGuard && (m.Waiting > 0 || old.Rate < m.Rate)
 }
 
 // value is what the loss of one replica costs, in seconds of load time weighed
@@ -127,7 +127,7 @@
 	if m == nil {
 		return 0
 	}
-	idle := p.in.Now.Sub(m.Asked).Seconds()
+	idle := p.in.Now.Sub(m.LastRequested).Seconds()
 	likely := m.Rate + 1/(1+max(idle, 0))
 	if n := p.replicas[model]; n > max(p.needed(m), 1) {
 		return likely / (10 * float64(n))
--- a/internal/loading/site_test.go
+++ b/internal/loading/site_test.go
@@ -82,7 +82,7 @@
 // reach returns the engines as the host at an index reaches them.
 func (s *site) reach() loading.Engines {
 	return loading.Engines{
-		Give: func(ctx context.Context, _, holder string, o loading.Order) (loading.Outcome, error) {
+		SendOrder: func(ctx context.Context, _, holder string, o loading.Order) (loading.Outcome, error) {
 			s.mu.Lock()
 			fate := s.random.Float64()
 			late := time.Duration(2000+s.random.IntN(10000)) * time.Millisecond
@@ -99,19 +99,19 @@
 			}
 			return s.take(holder, o, false), nil
 		},
-		Ask: func(_ context.Context, _ string, server string) (loading.Report, error) {
+		FetchReport: func(_ context.Context, _ string, server string) (loading.Report, error) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			e := s.engines[incarnation.ServerOf(server)]
 			return loading.Report{
-				Held: e.views(), Busy: e.busy, Taken: e.taken, OnDisk: slices.Collect(maps.Keys(e.disk)), Born: e.born,
+				Loaded: e.views(), Busy: e.busy, OrdersTaken: e.taken, OnDisk: slices.Collect(maps.Keys(e.disk)), StartMs: e.born,
 			}, nil
 		},
 	}
 }
 
 // key is the key of the engine's present start.
-func (e *standin) key() string { return incarnation.Name{Server: e.id, Born: e.born}.String() }
+func (e *standin) key() string { return incarnation.Name{Server: e.id, StartMs: e.born}.String() }
 
 // restart ends an engine and starts it again under its id: it holds nothing in memory,
 // has taken no order, and has its disk.
@@ -143,7 +143,7 @@
 	defer s.mu.Unlock()
 	// An engine checks its id and the number of orders, not the start that is meant.
 	e := s.engines[incarnation.ServerOf(o.Server)]
-	if o.Taken != e.taken || e.busy {
+	if o.OrdersTaken != e.taken || e.busy {
 		return loading.OutcomeConflict
 	}
 	if !late {
@@ -222,8 +222,8 @@
 	if e.lastBy != "" && holder != e.lastBy && time.Since(e.lastAt) < lease {
 		s.t.Errorf("seed %d: %s orders %v after %s", s.seed, holder, time.Since(e.lastAt), e.lastBy)
 	}
-	if o.Token <= e.last.Token {
-		s.t.Errorf("seed %d: token %d after %d", s.seed, o.Token, e.last.Token)
+	if o.FencingToken <= e.last.FencingToken {
+		s.t.Errorf("seed %d: token %d after %d", s.seed, o.FencingToken, e.last.FencingToken)
 	}
 	e.last, e.lastBy, e.lastAt = o, holder, time.Now()
 }
--- a/internal/loading/stock.go
+++ b/internal/loading/stock.go
@@ -32,27 +32,27 @@
 func (p *plan) stock() {
 	var missing []*Model
 	for _, m := range p.in.Models {
-		if p.copies[m.Name] < copiesOf(m) && !m.Barred {
+		if p.copies[m.Name] < copiesOf(m) && !m.Suspended {
 			missing = append(missing, m)
 		}
 	}
 	slices.SortFunc(missing, func(a, b *Model) int {
-		return cmp.Or(cmp.Compare(p.copies[a.Name], p.copies[b.Name]), b.Asked.Compare(a.Asked), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(p.copies[a.Name], p.copies[b.Name]), b.LastRequested.Compare(a.LastRequested), cmp.Compare(a.Name, b.Name))
 	})
 	for _, m := range missing {
-		if p.in.StoreRunning >= p.backgroundLoads() || p.in.StoreLoads <= 0 || !p.quiet() {
+		if p.in.StoreLoadsRunning >= p.backgroundLoads() || p.in.StoreLoadsAllowed <= 0 || !p.quiet() {
 			return
 		}
 		p.place(&Model{
-			Name: m.Name, MemoryMB: m.MemoryMB, AdapterMB: m.AdapterMB, FromStore: m.FromStore,
-			FromDisk: m.FromDisk, FromMemory: m.FromMemory, Rate: math.Inf(1),
+			Name: m.Name, MemoryMB: m.MemoryMB, AdapterMB: m.AdapterMB, StoreLoadTime: m.StoreLoadTime,
+			DiskLoadTime: m.DiskLoadTime, MemoryLoadTime: m.MemoryLoadTime, Rate: math.Inf(1),
 		}, ReasonStock)
 	}
 }
 
 // backgroundLoads is how many loads for stock may be under way at once; one more is
 // left to models that callers wait for.
-func (p *plan) backgroundLoads() int { return max(p.in.StoreAtOnce-1, 1) }
+func (p *plan) backgroundLoads() int { return max(p.in.StoreConcurrency-1, 1) }
 
 // quiet reports whether no caller would miss an engine that loads for stock.
 func (p *plan) quiet() bool {
--- a/internal/loading/store.go
+++ b/internal/loading/store.go
@@ -68,7 +68,7 @@
 // fromStore is how long the load under way takes where the store has no other.
 func (d *Driver) fromStore(e *engine) time.Duration {
 	if m := d.modelOf(e, e.order.Model); m != nil {
-		return m.FromStore
+		return m.StoreLoadTime
 	}
 	return 0
 }
--- a/internal/measure/capacity.go
+++ b/internal/measure/capacity.go
@@ -297,8 +297,8 @@
 	}
 	now := time.Unix(1_790_000_000, 0)
 	total := 0
-	var deliver func(sends []membership.Send) error
-	deliver = func(sends []membership.Send) error {
+	var deliver func(sends []membership.Datagram) error
+	deliver = func(sends []membership.Datagram) error {
 		for _, s := range sends {
 			data, err := proto.Marshal(s.Probe)
 			if err != nil {
@@ -364,16 +364,16 @@
 // quietReport is the size of a report in which every server only gives a sign
 // of life.
 func quietReport(servers int) (float64, error) {
-	h := backend.NewHeard()
+	h := backend.NewRegistry()
 	now := time.Unix(1_790_000_000, 0)
 	for i := range servers {
-		h.Take(announcement(i, 50), now)
+		h.Record(announcement(i, 50), now)
 	}
-	h.Reported(h.Unreported(now))
+	h.MarkReported(h.Unreported(now))
 	for i := range servers {
 		a := announcement(i, 50)
 		a.Sequence = 2
-		h.Take(a, now)
+		h.Record(a, now)
 	}
 	return float64(proto.Size(&schema.Report{Group: 1, Entry: "entry-a1", EntryIncarnation: 1790000000000000000, Announcements: h.Unreported(now)})), nil
 }
@@ -388,8 +388,8 @@
 	now := time.Unix(1_790_000_000, 0)
 	in := placement.Input{
 		Now: now, Demands: map[string]placement.Demand{},
-		Speeds:  placement.Speeds{RemoteMiB: 1024, DiskMiB: 4096, MemoryMiB: 16384, LoadsPerSecond: 100, FullSpeed: 100},
-		Weights: placement.Weights{ColdSecond: 1, IdleHour: 20, PerReplica: 16},
+		Speeds: placement.LoadSpeeds{RemoteMiBPerSecond: 1024, DiskMiBPerSecond: 4096, MemoryMiBPerSecond: 16384, LoadsPerSecond: 100, FullSpeedLoads: 100},
+		Prices: placement.Prices{ColdStartSecond: 1, IdleAcceleratorHour: 20, WaitingPerReplica: 16},
 	}
 	models := map[string]placement.Model{}
 	for i := range 15100 {
@@ -409,12 +409,12 @@
 			in.Replicas = append(in.Replicas, placement.Replica{
 				Number: uint64(2*i + a + 1), Target: fmt.Sprintf("model-%05d", (2*i+a)%100), Version: "1",
 				Server: fmt.Sprintf("engine-%04d", i), Accelerator: a, MemoryMiB: 16384, State: placement.StateLoaded,
-				Since: now.Add(-time.Hour), Used: now.Add(-time.Second),
+				Since: now.Add(-time.Hour), LastUsed: now.Add(-time.Second),
 			})
 		}
 	}
 	for i := range demands {
-		in.Demands[fmt.Sprintf("model-%05d", 200+i)] = placement.Demand{Waiting: 3, First: now.Add(10 * time.Second)}
+		in.Demands[fmt.Sprintf("model-%05d", 200+i)] = placement.Demand{Waiting: 3, EarliestDeadline: now.Add(10 * time.Second)}
 	}
 	return in
 }
--- a/internal/measure/routing.go
+++ b/internal/measure/routing.go
@@ -93,7 +93,7 @@
 		out = append(out, route(p.String(), seed, noise, entries, func(c []view, turn uint64, random *rand.Rand) int {
 			candidates := make([]routing.Candidate, len(c))
 			for i := range c {
-				candidates[i] = routing.Candidate{Near: true, Outstanding: c[i].outstanding}
+				candidates[i] = routing.Candidate{SameDataCentre: true, Outstanding: c[i].outstanding}
 			}
 			return routing.Choose(p, candidates, routedRequests, turn, random.Intn)
 		}))
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -40,17 +40,17 @@
 	Incarnation uint64
 	// Hosts names every host of the deployment.
 	Hosts []string
-	// Period is the time between two probes of this host.
-	Period time.Duration
-	// AckWait is how long a direct probe may take before others are asked.
-	AckWait time.Duration
-	// SuspectFor is how long a suspect may take to refute.
-	SuspectFor time.Duration
-	Random     func(n int) int
+	// ProbeInterval is the time between two probes of this host.
+	ProbeInterval time.Duration
+	// ProbeTimeout is how long a direct probe may take before others are asked.
+	ProbeTimeout time.Duration
+	// SuspicionTimeout is how long a suspect may take to refute.
+	SuspicionTimeout time.Duration
+	Random           func(n int) int
 }
 
-// Send is a datagram for a host.
-type Send struct {
+// Datagram is a datagram for a host.
+type Datagram struct {
 	To    string
 	Probe *schema.Probe
 }
@@ -97,14 +97,14 @@
 
 // NewList returns a list in which no other host is alive yet.
 func NewList(cfg Config) *List {
-	if cfg.Period == 0 {
-		cfg.Period = defaultPeriod
+	if cfg.ProbeInterval == 0 {
+		cfg.ProbeInterval = defaultPeriod
 	}
-	if cfg.AckWait == 0 {
-		cfg.AckWait = defaultAckWait
+	if cfg.ProbeTimeout == 0 {
+		cfg.ProbeTimeout = defaultAckWait
 	}
-	if cfg.SuspectFor == 0 {
-		cfg.SuspectFor = defaultSuspectFor
+	if cfg.SuspicionTimeout == 0 {
+		cfg.SuspicionTimeout = defaultSuspectFor
 	}
 	l := &List{
 		cfg:    cfg,
@@ -149,15 +149,15 @@
 	}
 }
 
-// Stop tells others at once that this host takes no new callers, and later
+// AnnounceStop tells others at once that this host takes no new callers, and later
 // with left that it is gone.
-func (l *List) Stop(left bool) []Send {
+func (l *List) AnnounceStop(left bool) []Datagram {
 	state := schema.HostState_HOST_STATE_ALIVE
 	if left {
 		state = schema.HostState_HOST_STATE_LEFT
 	}
 	l.renew(state, true)
-	var out []Send
+	var out []Datagram
 	for _, h := range l.order {
 		out = append(out, l.ping(h))
 	}
@@ -175,10 +175,10 @@
 
 // Tick does what is due and returns the datagrams to send. It is called a few
 // times per AckWait.
-func (l *List) Tick(now time.Time) []Send {
+func (l *List) Tick(now time.Time) []Datagram {
 	out := l.checkOpen(now)
 	l.checkSuspects(now)
-	if !l.lastTick.IsZero() && now.Sub(l.lastTick) < l.cfg.Period {
+	if !l.lastTick.IsZero() && now.Sub(l.lastTick) < l.cfg.ProbeInterval {
 		return out
 	}
 	first := l.lastTick.IsZero()
@@ -226,43 +226,43 @@
 	}
 }
 
-func (l *List) probe(now time.Time, target string) Send {
+func (l *List) probe(now time.Time, target string) Datagram {
 	s := l.ping(target)
 	l.open[s.Probe.GetSequence()] = &openProbe{target: target, sent: now}
 	return s
 }
 
-func (l *List) ping(target string) Send {
+func (l *List) ping(target string) Datagram {
 	l.sequence++
-	return Send{target, &schema.Probe{
+	return Datagram{target, &schema.Probe{
 		Kind: schema.ProbeKind_PROBE_KIND_PING, From: l.cfg.Self, Target: target,
 		Sequence: l.sequence, Facts: l.newsFor(target),
 	}}
 }
 
-func (l *List) checkOpen(now time.Time) []Send {
-	var out []Send
+func (l *List) checkOpen(now time.Time) []Datagram {
+	var out []Datagram
 	for _, seq := range slices.Sorted(maps.Keys(l.open)) {
 		p := l.open[seq]
 		waited := now.Sub(p.sent)
 		switch {
-		case waited >= l.cfg.Period:
+		case waited >= l.cfg.ProbeInterval:
 			delete(l.open, seq)
 			l.suspect(now, p.target)
-		case waited >= l.cfg.AckWait && !p.indirect:
+		case waited >= l.cfg.ProbeTimeout && !p.indirect:
 			p.indirect = true
 			out = append(out, l.askOthers(p.target, seq)...)
 		}
 	}
 	for seq, r := range l.relays {
-		if now.Sub(r.sent) >= l.cfg.Period {
+		if now.Sub(r.sent) >= l.cfg.ProbeInterval {
 			delete(l.relays, seq)
 		}
 	}
 	return out
 }
 
-func (l *List) askOthers(target string, seq uint64) []Send {
+func (l *List) askOthers(target string, seq uint64) []Datagram {
 	var alive []string
 	for h, e := range l.hosts {
 		if h != target && e.fact.GetState() == schema.HostState_HOST_STATE_ALIVE {
@@ -270,10 +270,10 @@
 		}
 	}
 	slices.Sort(alive)
-	var out []Send
+	var out []Datagram
 	for range min(indirectProbes, len(alive)) {
 		i := l.cfg.Random(len(alive))
-		out = append(out, Send{alive[i], &schema.Probe{
+		out = append(out, Datagram{alive[i], &schema.Probe{
 			Kind: schema.ProbeKind_PROBE_KIND_PING_FOR, From: l.cfg.Self, Target: target,
 			Sequence: seq, Facts: l.news(),
 		}})
@@ -295,7 +295,7 @@
 
 func (l *List) checkSuspects(now time.Time) {
 	for _, e := range l.hosts {
-		if e.fact.GetState() != schema.HostState_HOST_STATE_SUSPECT || now.Sub(e.since) < l.cfg.SuspectFor {
+		if e.fact.GetState() != schema.HostState_HOST_STATE_SUSPECT || now.Sub(e.since) < l.cfg.SuspicionTimeout {
 			continue
 		}
 		l.adopt(now, &schema.HostFact{
@@ -306,7 +306,7 @@
 
 // Receive takes in a datagram and returns the answers. Datagrams of hosts that
 // are not configured are dropped.
-func (l *List) Receive(now time.Time, p *schema.Probe) []Send {
+func (l *List) Receive(now time.Time, p *schema.Probe) []Datagram {
 	if _, known := l.hosts[p.GetFrom()]; !known {
 		return nil
 	}
@@ -315,14 +315,14 @@
 	}
 	switch p.GetKind() {
 	case schema.ProbeKind_PROBE_KIND_PING:
-		return []Send{{p.GetFrom(), l.ack(p.GetFrom(), l.cfg.Self, p.GetSequence())}}
+		return []Datagram{{p.GetFrom(), l.ack(p.GetFrom(), l.cfg.Self, p.GetSequence())}}
 	case schema.ProbeKind_PROBE_KIND_PING_FOR:
 		if _, known := l.hosts[p.GetTarget()]; !known {
 			return nil
 		}
 		s := l.ping(p.GetTarget())
 		l.relays[s.Probe.GetSequence()] = relay{p.GetFrom(), p.GetSequence(), now}
-		return []Send{s}
+		return []Datagram{s}
 	case schema.ProbeKind_PROBE_KIND_ACK:
 		return l.acked(p)
 	default:
@@ -330,10 +330,10 @@
 	}
 }
 
-func (l *List) acked(p *schema.Probe) []Send {
+func (l *List) acked(p *schema.Probe) []Datagram {
 	if r, ok := l.relays[p.GetSequence()]; ok {
 		delete(l.relays, p.GetSequence())
-		return []Send{{r.origin, l.ack(r.origin, p.GetTarget(), r.sequence)}}
+		return []Datagram{{r.origin, l.ack(r.origin, p.GetTarget(), r.sequence)}}
 	}
 	if o, ok := l.open[p.GetSequence()]; ok && o.target == p.GetTarget() {
 		delete(l.open, p.GetSequence())
--- a/internal/membership/list_test.go
+++ b/internal/membership/list_test.go
@@ -47,7 +47,7 @@
 	})
 }
 
-func (n *net) deliver(from string, sends []membership.Send) {
+func (n *net) deliver(from string, sends []membership.Datagram) {
 	for _, s := range sends {
 		if n.down[s.To] || n.blocked[[2]string{from, s.To}] || n.random.Float64() < n.loss {
 			continue
@@ -162,7 +162,7 @@
 func TestStoppingIsToldAtOnce(t *testing.T) {
 	n := newNet(6)
 	n.run(5 * time.Second)
-	n.deliver("h02", n.lists["h02"].Stop(false))
+	n.deliver("h02", n.lists["h02"].AnnounceStop(false))
 	for _, at := range n.names {
 		for _, f := range n.lists[at].Facts() {
 			if f.GetHost() == "h02" {
@@ -170,6 +170,6 @@
 			}
 		}
 	}
-	n.deliver("h02", n.lists["h02"].Stop(true))
+	n.deliver("h02", n.lists["h02"].AnnounceStop(true))
 	n.allSee(t, "h02", left)
 }
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -50,7 +50,7 @@
 		stop: make(chan struct{}), done: make(chan struct{}),
 	}
 	inbox := make(chan *schema.Probe, inboxSize)
-	ticker := time.NewTicker(s.list.cfg.AckWait / ticksPerWait)
+	ticker := time.NewTicker(s.list.cfg.ProbeTimeout / ticksPerWait)
 	var reader sync.WaitGroup
 	reader.Add(1)
 	go func() {
@@ -66,9 +66,9 @@
 			case <-s.stop:
 				return
 			case p := <-inbox:
-				s.step(func() []Send { return s.list.Receive(time.Now(), p) })
+				s.step(func() []Datagram { return s.list.Receive(time.Now(), p) })
 			case <-ticker.C:
-				s.step(func() []Send {
+				s.step(func() []Datagram {
 					s.list.SetLoad(uint32(s.cfg.Load()))
 					return s.list.Tick(time.Now())
 				})
@@ -105,7 +105,7 @@
 	}
 }
 
-func (s *Service) step(f func() []Send) {
+func (s *Service) step(f func() []Datagram) {
 	s.mu.Lock()
 	sends := f()
 	if s.list.TakeChanged() {
@@ -119,7 +119,7 @@
 }
 
 // send drops what cannot be sent: a lost probe is what probing is for.
-func (s *Service) send(send Send) {
+func (s *Service) send(send Datagram) {
 	address, err := net.ResolveUDPAddr("udp", s.cfg.Addresses[send.To])
 	if err != nil {
 		return
@@ -147,16 +147,16 @@
 	return s.changed
 }
 
-// Leave tells all others that this host takes no new callers.
-func (s *Service) Leave() {
-	s.step(func() []Send { return s.list.Stop(false) })
+// AnnounceStopping tells all others that this host takes no new callers.
+func (s *Service) AnnounceStopping() {
+	s.step(func() []Datagram { return s.list.AnnounceStop(false) })
 }
 
 // Stop tells all others that this host is gone and ends the service.
 func (s *Service) Stop() {
 	s.once.Do(func() {
 		for range stopAnnounces {
-			s.step(func() []Send { return s.list.Stop(true) })
+			s.step(func() []Datagram { return s.list.AnnounceStop(true) })
 		}
 		close(s.stop)
 		_ = s.cfg.Conn.Close()
--- a/internal/operator/suspects.go
+++ b/internal/operator/suspects.go
@@ -31,8 +31,8 @@
 	Log     logr.Logger
 }
 
-// AddSuspects answers operators about requests that end their servers.
-func AddSuspects(r *echo.Echo, cfg SuspectsConfig) {
+// RegisterSuspects answers operators about requests that end their servers.
+func RegisterSuspects(r *echo.Echo, cfg SuspectsConfig) {
 	r.GET(SuspectsPath, func(c echo.Context) error {
 		return WriteProto(c, http.StatusOK, &schema.SuspectList{Suspects: cfg.List()})
 	})
@@ -64,7 +64,7 @@
 }
 
 func refuse(c echo.Context, r *refusal.Refusal) error {
-	return WriteProto(c, r.Status(), r.Reply(""))
+	return WriteProto(c, r.Status(), r.ErrorReply(""))
 }
 
 // WriteProto answers with a message as JSON.
--- a/internal/order/driver.go
+++ b/internal/order/driver.go
@@ -51,9 +51,9 @@
 
 // Leadership is what the driver needs to know of the group's member here.
 type Leadership struct {
-	// Leads is true on a leader that has committed in its term.
-	Leads bool
-	Term  uint64
+	// IsLeader is true on a leader that has committed in its term.
+	IsLeader bool
+	Term     uint64
 }
 
 // Config configures a Driver. All fields are required but Tracer.
@@ -63,20 +63,20 @@
 	Leadership func() Leadership
 	// Commit proposes a command on this member.
 	Commit func(ctx context.Context, cmd *schema.Command) (*schema.Result, error)
-	// Confirm returns nil only if this member led after the call.
-	Confirm func(ctx context.Context) error
-	// Give sends an order to an engine and returns its final answer.
-	Give    func(ctx context.Context, address string, o *schema.Order) (*schema.OrderReply, error)
-	Speeds  placement.Speeds
-	Weights placement.Weights
-	Now     func() time.Time
-	Log     logr.Logger
-	Tracer  trace.Tracer
-	// Loaded, where set, is told how long a load took and whether it succeeded.
-	Loaded func(tier placement.Tier, took time.Duration, ok bool)
-	// Idled, where set, is told the accelerator time that was held without a
+	// ConfirmLeadership returns nil only if this member led after the call.
+	ConfirmLeadership func(ctx context.Context) error
+	// SendOrder sends an order to an engine and returns its final answer.
+	SendOrder func(ctx context.Context, address string, o *schema.Order) (*schema.OrderReply, error)
+	Speeds    placement.LoadSpeeds
+	Prices    placement.Prices
+	Now       func() time.Time
+	Log       logr.Logger
+	Tracer    trace.Tracer
+	// ObserveLoad, where set, is told how long a load took and whether it succeeded.
+	ObserveLoad func(tier placement.Tier, took time.Duration, ok bool)
+	// ObserveIdle, where set, is told the accelerator time that was held without a
 	// request since the last call.
-	Idled func(time.Duration)
+	ObserveIdle func(time.Duration)
 }
 
 // Driver gives orders while its member leads. All methods are safe from any
@@ -107,7 +107,7 @@
 	// putting holds servers with a put command under way.
 	putting   map[string]bool
 	forecasts map[string]placement.Forecast
-	speeds    *placement.Learner
+	speeds    *placement.SpeedEstimator
 	// ahead lists the targets still to be looked at for loads ahead.
 	ahead       []string
 	lookedAhead time.Time
@@ -178,7 +178,7 @@
 	d.reserving = map[reserveKey]string{}
 	d.putting = map[string]bool{}
 	d.forecasts = map[string]placement.Forecast{}
-	d.speeds = placement.NewLearner(d.cfg.Speeds)
+	d.speeds = placement.NewSpeedEstimator(d.cfg.Speeds)
 	d.counted = time.Time{}
 }
 
@@ -186,7 +186,7 @@
 // a member that does not lead.
 func (d *Driver) follow() bool {
 	l := d.cfg.Leadership()
-	if !l.Leads {
+	if !l.IsLeader {
 		if d.term != 0 {
 			d.reset(0)
 		}
@@ -195,7 +195,7 @@
 	if d.term != l.Term {
 		d.reset(l.Term)
 		d.cfg.Log.Info("orders begin", "term", l.Term)
-		d.cfg.Ledger.View(func(_ ledger.Heads, r *ledger.Records) { d.adopt(d.since, r, 0) })
+		d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) { d.adopt(d.since, r, 0) })
 	}
 	return true
 }
@@ -214,19 +214,19 @@
 	d.lastRound = now
 	d.dirty = false
 	var plan placement.Plan
-	d.cfg.Ledger.View(func(_ ledger.Heads, r *ledger.Records) {
+	d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) {
 		d.noteLost(now, r)
 		d.adopt(now, r, adoptAfter)
 		in := d.fleet.input(now, r, d.busy)
 		d.addReserving(&in)
-		in.Ahead = d.nextAhead(now)
+		in.PreloadCandidates = d.nextAhead(now)
 		in.Speeds = d.speeds.Speeds()
-		in.Weights = d.cfg.Weights
+		in.Prices = d.cfg.Prices
 		plan = placement.Decide(in)
 	})
 	d.forecasts = plan.Forecasts
 	d.countIdle(now)
-	d.idle = plan.Idle
+	d.idle = plan.IdleAccelerators
 	if now.Sub(d.since) < warmUp {
 		plan.Decisions = onlyLoads(plan.Decisions)
 	}
@@ -253,8 +253,8 @@
 }
 
 func (d *Driver) countIdle(now time.Time) {
-	if !d.counted.IsZero() && d.cfg.Idled != nil {
-		d.cfg.Idled(time.Duration(d.idle * float64(now.Sub(d.counted))))
+	if !d.counted.IsZero() && d.cfg.ObserveIdle != nil {
+		d.cfg.ObserveIdle(time.Duration(d.idle * float64(now.Sub(d.counted))))
 	}
 	d.counted = now
 }
@@ -271,7 +271,7 @@
 		m, _ := in.Model(target)
 		in.Replicas = append(in.Replicas, placement.Replica{
 			Target: target, Version: m.Version, Server: key.server, Accelerator: key.accelerator,
-			MemoryMiB: m.MemoryMiB, State: placement.StateLoading, Ready: in.Now.Add(time.Second), Since: in.Now,
+			MemoryMiB: m.MemoryMiB, State: placement.StateLoading, ReadyAt: in.Now.Add(time.Second), Since: in.Now,
 		})
 	}
 }
--- a/internal/order/driver_test.go
+++ b/internal/order/driver_test.go
@@ -114,7 +114,7 @@
 		Leadership: func() order.Leadership {
 			y.mu.Lock()
 			defer y.mu.Unlock()
-			return order.Leadership{Leads: y.leader == i, Term: y.term}
+			return order.Leadership{IsLeader: y.leader == i, Term: y.term}
 		},
 		Commit: func(_ context.Context, cmd *schema.Command) (*schema.Result, error) {
 			y.mu.Lock()
@@ -132,7 +132,7 @@
 			}
 			return r, nil
 		},
-		Confirm: func(context.Context) error {
+		ConfirmLeadership: func(context.Context) error {
 			y.mu.Lock()
 			defer y.mu.Unlock()
 			if y.leader != i {
@@ -140,11 +140,11 @@
 			}
 			return nil
 		},
-		Give:   give,
-		Speeds: placement.Speeds{RemoteMiB: 50, DiskMiB: 50, MemoryMiB: 50, LoadsPerSecond: 10, FullSpeed: 4},
+		SendOrder: give,
+		Speeds:    placement.LoadSpeeds{RemoteMiBPerSecond: 50, DiskMiBPerSecond: 50, MemoryMiBPerSecond: 50, LoadsPerSecond: 10, FullSpeedLoads: 4},
 		// Idle replicas are dear, so that there are many unloads.
-		Weights: placement.Weights{ColdSecond: 1, IdleHour: 5000, PerReplica: 1},
-		Now:     time.Now, Log: logr.Discard(), Tracer: noop.NewTracerProvider().Tracer(""),
+		Prices: placement.Prices{ColdStartSecond: 1, IdleAcceleratorHour: 5000, WaitingPerReplica: 1},
+		Now:    time.Now, Log: logr.Discard(), Tracer: noop.NewTracerProvider().Tracer(""),
 	})
 }
 
@@ -315,7 +315,7 @@
 	leader := y.leader
 	y.mu.Unlock()
 	if leader >= 0 {
-		y.drivers[leader].Report(q)
+		y.drivers[leader].HandleReport(q)
 	}
 }
 
@@ -366,7 +366,7 @@
 		time.Sleep(time.Second)
 	}
 	open := 0
-	y.ledger.View(func(_ ledger.Heads, r *ledger.Records) {
+	y.ledger.View(func(_ ledger.Status, r *ledger.Records) {
 		for _, res := range r.Reservations() {
 			if res.GetState() != schema.ReservationState_RESERVATION_STATE_LOADED && time.Now().UnixMilli()-res.GetChangedMs() > 60_000 {
 				open++
@@ -462,7 +462,7 @@
 			for _, target := range targets {
 				q.Demands = append(q.Demands, &schema.Demand{Target: target, Waiting: 1, FirstDeadlineMs: 20000, Arrived: 1})
 			}
-			d.Report(q)
+			d.HandleReport(q)
 			time.Sleep(time.Second)
 		}
 		y.mu.Lock()
--- a/internal/order/fleet.go
+++ b/internal/order/fleet.go
@@ -25,7 +25,7 @@
 	servers map[string]*heard
 	// demands holds each entry's word by target.
 	demands  map[string]map[string]entryDemand
-	patterns map[string]*placement.Pattern
+	patterns map[string]*placement.ArrivalPattern
 	used     map[string]time.Time
 	returns  map[string]time.Time
 }
@@ -51,7 +51,7 @@
 func newFleet() *fleet {
 	return &fleet{
 		servers: map[string]*heard{}, demands: map[string]map[string]entryDemand{},
-		patterns: map[string]*placement.Pattern{}, used: map[string]time.Time{},
+		patterns: map[string]*placement.ArrivalPattern{}, used: map[string]time.Time{},
 		returns: map[string]time.Time{},
 	}
 }
@@ -131,7 +131,7 @@
 			continue
 		}
 		if d.GetArrived() > 0 {
-			f.pattern(t, now).Arrive(now)
+			f.pattern(t, now).RecordArrival(now)
 		}
 		if d.GetArrived() > 0 || d.GetWaiting() > 0 || d.GetRunning() > 0 {
 			f.used[t] = now
@@ -139,10 +139,10 @@
 	}
 }
 
-func (f *fleet) pattern(target string, now time.Time) *placement.Pattern {
+func (f *fleet) pattern(target string, now time.Time) *placement.ArrivalPattern {
 	p, ok := f.patterns[target]
 	if !ok {
-		p = placement.NewPattern(now)
+		p = placement.NewArrivalPattern(now)
 		f.patterns[target] = p
 	}
 	return p
@@ -170,7 +170,7 @@
 			continue
 		}
 		d := waiting[target]
-		d.Returning = max(d.Returning, 1)
+		d.ExpectedRetries = max(d.ExpectedRetries, 1)
 		waiting[target] = d
 	}
 	return waiting, running
@@ -183,8 +183,8 @@
 		return d
 	}
 	first := e.at.Add(time.Duration(e.demand.GetFirstDeadlineMs()) * time.Millisecond)
-	if d.First.IsZero() || first.Before(d.First) {
-		d.First = first
+	if d.EarliestDeadline.IsZero() || first.Before(d.EarliestDeadline) {
+		d.EarliestDeadline = first
 	}
 	return d
 }
@@ -192,7 +192,7 @@
 // input builds what placement decides on.
 func (f *fleet) input(now time.Time, r *ledger.Records, busy map[uint64]bool) placement.Input {
 	demands, running := f.totals(now)
-	in := placement.Input{Now: now, Demands: demands, Pattern: func(t string) *placement.Pattern { return f.patterns[t] }}
+	in := placement.Input{Now: now, Demands: demands, Pattern: func(t string) *placement.ArrivalPattern { return f.patterns[t] }}
 	for _, s := range r.Servers() {
 		if s.GetKind() == schema.ServerKind_SERVER_KIND_ENGINE {
 			in.Servers = append(in.Servers, f.engine(now, s))
@@ -201,7 +201,7 @@
 	in.Pinned = r.Pinned()
 	for _, res := range r.Reservations() {
 		rep := replicaOf(res)
-		rep.Used = later(f.used[res.GetTarget()], rep.Since)
+		rep.LastUsed = later(f.used[res.GetTarget()], rep.Since)
 		rep.Running = running[res.GetTarget()]
 		if busy[res.GetNumber()] && rep.State == placement.StateLoaded {
 			rep.State = placement.StateUnloading
@@ -237,7 +237,7 @@
 	out := placement.Replica{
 		Number: r.GetNumber(), Target: r.GetTarget(), Version: r.GetVersion(), Server: r.GetServer(),
 		Accelerator: int(r.GetAccelerator()), MemoryMiB: r.GetMemoryMib(),
-		Since: time.UnixMilli(r.GetChangedMs()), Ready: time.UnixMilli(r.GetReadyMs()),
+		Since: time.UnixMilli(r.GetChangedMs()), ReadyAt: time.UnixMilli(r.GetReadyMs()),
 	}
 	switch r.GetState() {
 	case schema.ReservationState_RESERVATION_STATE_LOADED:
--- a/internal/order/forecast.go
+++ b/internal/order/forecast.go
@@ -36,7 +36,7 @@
 // idleHours is the expected idle time per day by what is learnt of a target; a
 // target that nobody asked for yet is held for nobody.
 func (d *Driver) idleHours(name string, cold time.Duration) float64 {
-	return d.fleet.patterns[name].IdlePerDay(d.cfg.Now(), cold.Seconds()*d.cfg.Weights.ColdSecond, d.cfg.Weights.IdleHour)
+	return d.fleet.patterns[name].IdleHoursPerDay(d.cfg.Now(), cold.Seconds()*d.cfg.Prices.ColdStartSecond, d.cfg.Prices.IdleAcceleratorHour)
 }
 
 func (d *Driver) bestTier(target string) placement.Tier {
@@ -47,11 +47,11 @@
 	return best
 }
 
-// Unproved lists the reservations whose order has had no answer for long.
-func (d *Driver) Unproved() []uint64 {
+// UnconfirmedReservations lists the reservations whose order has had no answer for long.
+func (d *Driver) UnconfirmedReservations() []uint64 {
 	limit := d.cfg.Now().Add(-unprovedAfter).UnixMilli()
 	var out []uint64
-	d.cfg.Ledger.View(func(_ ledger.Heads, r *ledger.Records) {
+	d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) {
 		for _, res := range r.Reservations() {
 			if res.GetState() != schema.ReservationState_RESERVATION_STATE_LOADED && res.GetChangedMs() < limit {
 				out = append(out, res.GetNumber())
--- a/internal/order/orders.go
+++ b/internal/order/orders.go
@@ -46,7 +46,7 @@
 func (d *Driver) reserve(ctx context.Context, key reserveKey, decision placement.Decision) *schema.Reservation {
 	result, err := d.commit(ctx, &schema.Command{Body: &schema.Command_Reserve{Reserve: &schema.Reserve{
 		Target: decision.Target, Server: decision.Server, Incarnation: decision.Incarnation,
-		Accelerator: uint32(decision.Accelerator), ReadyMs: decision.Ready.UnixMilli(),
+		Accelerator: uint32(decision.Accelerator), ReadyMs: decision.ReadyAt.UnixMilli(),
 	}}})
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,7 +74,7 @@
 func (d *Driver) unload(ctx context.Context, decision placement.Decision) {
 	defer d.free(ctx, decision.Replica)
 	var res *schema.Reservation
-	d.cfg.Ledger.View(func(_ ledger.Heads, r *ledger.Records) { res = r.Reservation(decision.Replica) })
+	d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) { res = r.Reservation(decision.Replica) })
 	if res == nil {
 		return
 	}
@@ -114,7 +114,7 @@
 // for, or nil when the reservation is gone.
 func (d *Driver) serverOf(res *schema.Reservation) *schema.Server {
 	var s *schema.Server
-	d.cfg.Ledger.View(func(_ ledger.Heads, r *ledger.Records) {
+	d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) {
 		now := r.Reservation(res.GetNumber())
 		if now != nil && now.GetFencing() == res.GetFencing() {
 			s = r.Server(res.GetServer())
@@ -131,7 +131,7 @@
 // by then, so its successor counts it.
 func (d *Driver) give(ctx context.Context, s *schema.Server, res *schema.Reservation) (*schema.OrderReply, error) {
 	confirm, cancel := context.WithTimeout(ctx, commitWait)
-	err := d.cfg.Confirm(confirm)
+	err := d.cfg.ConfirmLeadership(confirm)
 	cancel()
 	if err != nil {
 		return nil, err
@@ -143,7 +143,7 @@
 	// One span for each time the order is given: load or unload.
 	ctx, span := d.span(ctx, o.GetKind(), res)
 	defer span.End()
-	reply, err := d.cfg.Give(ctx, s.GetAddress(), o)
+	reply, err := d.cfg.SendOrder(ctx, s.GetAddress(), o)
 	if err == nil && reply.GetIncarnation() != res.GetIncarnation() {
 		// The engine restarted before its announcement was recorded. What the
 		// new process did says nothing about the one that was reserved for.
@@ -181,7 +181,7 @@
 		kind = engine.KindUnload
 	}
 	base := ""
-	d.cfg.Ledger.View(func(_ ledger.Heads, r *ledger.Records) { base = r.Model(res.GetTarget()).GetBase() })
+	d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) { base = r.Model(res.GetTarget()).GetBase() })
 	return &schema.Order{
 		Kind: kind, Target: res.GetTarget(), Base: base, Version: res.GetVersion(),
 		Accelerator: res.GetAccelerator(), MemoryMib: res.GetMemoryMib(),
@@ -285,11 +285,11 @@
 	}
 	took := d.cfg.Now().Sub(began)
 	if ok {
-		d.speeds.Learn(tier, res.GetMemoryMib(), took)
+		d.speeds.Observe(tier, res.GetMemoryMib(), took)
 	}
 	d.mu.Unlock()
-	if d.cfg.Loaded != nil {
-		d.cfg.Loaded(tier, took, ok)
+	if d.cfg.ObserveLoad != nil {
+		d.cfg.ObserveLoad(tier, took, ok)
 	}
 }
 
--- a/internal/order/reports.go
+++ b/internal/order/reports.go
@@ -15,7 +15,7 @@
 // to a replica that is not there for as long as the engine lives.
 func (d *Driver) dropVanished(now time.Time) {
 	var gone []*schema.Reservation
-	d.cfg.Ledger.View(func(_ ledger.Heads, r *ledger.Records) {
+	d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) {
 		for _, res := range r.Reservations() {
 			loaded := res.GetState() == schema.ReservationState_RESERVATION_STATE_LOADED
 			if loaded && d.fleet.vanished(res, now) {
@@ -69,8 +69,8 @@
 	})
 }
 
-// Report takes in an entry's soft state and answers with forecasts.
-func (d *Driver) Report(q *schema.Report) *schema.ReportReply {
+// HandleReport takes in an entry's soft state and answers with forecasts.
+func (d *Driver) HandleReport(q *schema.Report) *schema.ReportReply {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.follow() {
@@ -102,7 +102,7 @@
 
 func (d *Driver) baseOf(target string) string {
 	base := ""
-	d.cfg.Ledger.View(func(_ ledger.Heads, r *ledger.Records) { base = r.Model(target).GetBase() })
+	d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) { base = r.Model(target).GetBase() })
 	return base
 }
 
@@ -118,13 +118,13 @@
 	if !f.Possible {
 		return &schema.Forecast{Target: target, ReadyInMs: -1, Reason: f.Reason}
 	}
-	return &schema.Forecast{Target: target, ReadyInMs: max(f.Ready.Sub(now).Milliseconds(), 0)}
+	return &schema.Forecast{Target: target, ReadyInMs: max(f.ReadyAt.Sub(now).Milliseconds(), 0)}
 }
 
 // compare records a server whose announcement differs from its record.
 func (d *Driver) compare(s *schema.Server) {
 	var old *schema.Server
-	d.cfg.Ledger.View(func(_ ledger.Heads, r *ledger.Records) { old = r.Server(s.GetName()) })
+	d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) { old = r.Server(s.GetName()) })
 	if old == nil || !sameServer(old, s) && s.GetIncarnation() >= old.GetIncarnation() {
 		d.put(s)
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -133,10 +133,10 @@
 	}
 }
 
-// Renew closes the connection to an address, so that the next call comes on a
+// Reset closes the connection to an address, so that the next call comes on a
 // fresh one: a stream that has fallen silent may sit on a connection that
 // something between the hosts has lost track of.
-func (d *Dialer) Renew(address string) {
+func (d *Dialer) Reset(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c, ok := d.conns[address]; ok {
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -66,7 +66,7 @@
 		w.serve(k)
 	}
 	w.retire()
-	w.plan.Idle = w.idleAccelerators()
+	w.plan.IdleAccelerators = w.idleAccelerators()
 	return w.plan
 }
 
@@ -117,7 +117,7 @@
 	for _, target := range slices.Sorted(maps.Keys(w.in.Demands)) {
 		d := w.in.Demands[target]
 		m, ok := w.in.Model(target)
-		if !ok || d.Waiting+d.Returning == 0 {
+		if !ok || d.Waiting+d.ExpectedRetries == 0 {
 			continue
 		}
 		if w.have(m) >= w.want(m, d) {
@@ -144,7 +144,7 @@
 // holding them from now on: the margin keeps what was just let go from coming
 // back at once.
 func (w *world) wakeAhead(byName map[string]wake) {
-	for _, name := range w.in.Ahead {
+	for _, name := range w.in.PreloadCandidates {
 		m, ok := w.in.Model(name)
 		if _, there := byName[name]; !ok || there || len(w.byTarget[name]) > 0 || len(w.accs) == 0 {
 			continue
@@ -153,7 +153,7 @@
 			continue
 		}
 		cold, held := w.prices(w.accs[0], m)
-		if margin := aheadMargin * cold; w.pattern(name).Gain(w.in.Now, horizon, cold, held, margin) > margin {
+		if margin := aheadMargin * cold; w.pattern(name).HoldGain(w.in.Now, horizon, cold, held, margin) > margin {
 			byName[name] = wake{model: m, deadline: w.in.Now.Add(time.Hour), ahead: true}
 		}
 	}
@@ -169,7 +169,7 @@
 	if _, there := byName[m.Base]; !ok || there || w.underWay(base) {
 		return
 	}
-	byName[m.Base] = wake{model: base, demand: Demand{Priority: d.Priority, First: d.First}, deadline: deadlineOf(w.in.Now, d)}
+	byName[m.Base] = wake{model: base, demand: Demand{Priority: d.Priority, EarliestDeadline: d.EarliestDeadline}, deadline: deadlineOf(w.in.Now, d)}
 }
 
 func (w *world) underWay(m Model) bool {
@@ -186,10 +186,10 @@
 }
 
 func deadlineOf(now time.Time, d Demand) time.Time {
-	if d.First.IsZero() {
+	if d.EarliestDeadline.IsZero() {
 		return now.Add(time.Minute)
 	}
-	return d.First
+	return d.EarliestDeadline
 }
 
 // have counts the replicas that serve or will serve the present version.
@@ -213,7 +213,7 @@
 }
 
 func (w *world) want(m Model, d Demand) int {
-	per := cmp.Or(w.in.Weights.PerReplica, defaultPerReplica)
+	per := cmp.Or(w.in.Prices.WaitingPerReplica, defaultPerReplica)
 	need := max((d.Waiting+per-1)/per, m.MinReplicas, 1)
 	return min(need, m.MaxReplicas)
 }
@@ -224,8 +224,8 @@
 		switch {
 		case r.State == StateLoaded && w.usable(r.Server):
 			return
-		case r.State == StateLoading && (!best.Possible || r.Ready.Before(best.Ready)):
-			best = Forecast{Possible: true, Ready: r.Ready}
+		case r.State == StateLoading && (!best.Possible || r.ReadyAt.Before(best.ReadyAt)):
+			best = Forecast{Possible: true, ReadyAt: r.ReadyAt}
 		}
 	}
 	w.plan.Forecasts[target] = best
@@ -243,7 +243,7 @@
 		w.say(name, w.noRoom(k.model))
 		return
 	}
-	w.say(name, Forecast{Possible: true, Ready: ready})
+	w.say(name, Forecast{Possible: true, ReadyAt: ready})
 	if free := best.total - best.used; free < k.model.MemoryMiB {
 		if k.ahead {
 			return
@@ -258,7 +258,7 @@
 	best.used += k.model.MemoryMiB
 	w.plan.Decisions = append(w.plan.Decisions, Decision{
 		Kind: KindLoad, Target: name, Server: best.server.Name, Incarnation: best.server.Incarnation,
-		Accelerator: best.index, Ready: ready, Reason: wakeReason(k),
+		Accelerator: best.index, ReadyAt: ready, Reason: wakeReason(k),
 	})
 }
 
@@ -269,13 +269,13 @@
 	case k.ahead:
 		return "expected soon"
 	}
-	return fmt.Sprintf("%d waiting", k.demand.Waiting+k.demand.Returning)
+	return fmt.Sprintf("%d waiting", k.demand.Waiting+k.demand.ExpectedRetries)
 }
 
 // say keeps the better of two forecasts: a loading replica beats a planned one.
 func (w *world) say(target string, f Forecast) {
 	w.forecastExisting(target)
-	if old, ok := w.plan.Forecasts[target]; ok && old.Possible && (!f.Possible || old.Ready.Before(f.Ready)) {
+	if old, ok := w.plan.Forecasts[target]; ok && old.Possible && (!f.Possible || old.ReadyAt.Before(f.ReadyAt)) {
 		return
 	}
 	for _, r := range w.byTarget[target] {
@@ -295,7 +295,7 @@
 	for _, r := range w.byTarget[m.Name] {
 		accs := w.byAcc[r.Server]
 		if len(accs) > 0 && !accs[0].server.Lost {
-			return Forecast{Possible: true, Ready: w.in.Now.Add(unloadTime + w.loadTime(accs[0], m))}
+			return Forecast{Possible: true, ReadyAt: w.in.Now.Add(unloadTime + w.loadTime(accs[0], m))}
 		}
 		reason = fmt.Sprintf("%d of %d replicas of %q are decided, one of them on server %q, which is lost; "+
 			"an operator may raise max-replicas or forget the server", len(w.byTarget[m.Name]), m.MaxReplicas, m.Name, r.Server)
@@ -308,12 +308,12 @@
 func (w *world) noRoom(m Model) Forecast {
 	for _, a := range w.accs {
 		if a.server.Usable && a.busy && a.total >= m.MemoryMiB {
-			return Forecast{Possible: true, Ready: w.in.Now.Add(w.loadTime(a, m) + w.busyTime(a))}
+			return Forecast{Possible: true, ReadyAt: w.in.Now.Add(w.loadTime(a, m) + w.busyTime(a))}
 		}
 	}
 	// An adapter waits for its base.
 	if f, ok := w.plan.Forecasts[m.Base]; ok && m.Base != "" && f.Possible {
-		return Forecast{Possible: true, Ready: f.Ready.Add(loadOverhead)}
+		return Forecast{Possible: true, ReadyAt: f.ReadyAt.Add(loadOverhead)}
 	}
 	return Forecast{Reason: fmt.Sprintf("no accelerator has room for the %d MiB of %q", m.MemoryMiB, m.Name)}
 }
@@ -322,7 +322,7 @@
 	wait := unloadTime
 	for _, r := range a.replicas {
 		if r.State == StateLoading {
-			wait = max(wait, r.Ready.Sub(w.in.Now))
+			wait = max(wait, r.ReadyAt.Sub(w.in.Now))
 		}
 	}
 	return wait
@@ -392,17 +392,17 @@
 
 // LoadTime is the expected time of a load from a tier while a number of remote
 // loads run already.
-func LoadTime(s Speeds, t Tier, mib uint64, remote int) time.Duration {
-	rate := s.RemoteMiB
+func LoadTime(s LoadSpeeds, t Tier, mib uint64, remote int) time.Duration {
+	rate := s.RemoteMiBPerSecond
 	wait := 0.0
 	switch t {
 	case TierMemory:
-		rate = s.MemoryMiB
+		rate = s.MemoryMiBPerSecond
 	case TierDisk:
-		rate = s.DiskMiB
+		rate = s.DiskMiBPerSecond
 	case TierRemote:
-		if over := remote + 1 - s.FullSpeed; over > 0 {
-			rate = rate * float64(s.FullSpeed) / float64(remote+1)
+		if over := remote + 1 - s.FullSpeedLoads; over > 0 {
+			rate = rate * float64(s.FullSpeedLoads) / float64(remote+1)
 		}
 		if s.LoadsPerSecond > 0 {
 			wait = float64(remote) / s.LoadsPerSecond
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -32,9 +32,9 @@
 			m, ok := models[n]
 			return m, ok
 		},
-		Pattern: func(string) *placement.Pattern { return placement.NewPattern(now.Add(-time.Hour)) },
-		Speeds:  placement.Speeds{RemoteMiB: 10, DiskMiB: 40, MemoryMiB: 100, LoadsPerSecond: 3, FullSpeed: 4},
-		Weights: placement.Weights{ColdSecond: 1, IdleHour: 20, PerReplica: 2},
+		Pattern: func(string) *placement.ArrivalPattern { return placement.NewArrivalPattern(now.Add(-time.Hour)) },
+		Speeds:  placement.LoadSpeeds{RemoteMiBPerSecond: 10, DiskMiBPerSecond: 40, MemoryMiBPerSecond: 100, LoadsPerSecond: 3, FullSpeedLoads: 4},
+		Prices:  placement.Prices{ColdStartSecond: 1, IdleAcceleratorHour: 20, WaitingPerReplica: 2},
 	}
 	number := uint64(0)
 	for i := range 4 {
@@ -55,8 +55,8 @@
 				used += m.MemoryMiB
 				r := placement.Replica{
 					Number: number, Target: name, Version: "1", Server: s.Name, Accelerator: a, MemoryMiB: m.MemoryMiB,
-					State: placement.StateLoaded, Since: now.Add(-time.Minute), Used: now.Add(-time.Duration(random.Intn(9000)) * time.Second),
-					Running: random.Intn(3) / 2, Ready: now.Add(time.Second),
+					State: placement.StateLoaded, Since: now.Add(-time.Minute), LastUsed: now.Add(-time.Duration(random.Intn(9000)) * time.Second),
+					Running: random.Intn(3) / 2, ReadyAt: now.Add(time.Second),
 				}
 				if !busy && random.Intn(6) == 0 {
 					r.State = placement.State(random.Intn(3))
@@ -68,7 +68,7 @@
 	}
 	for name := range models {
 		if random.Intn(2) == 0 {
-			in.Demands[name] = placement.Demand{Waiting: random.Intn(6), First: now.Add(time.Duration(random.Intn(30)) * time.Second)}
+			in.Demands[name] = placement.Demand{Waiting: random.Intn(6), EarliestDeadline: now.Add(time.Duration(random.Intn(30)) * time.Second)}
 		}
 		in.Pinned = append(in.Pinned, name)
 	}
@@ -126,8 +126,8 @@
 
 func oneServer(models ...placement.Model) placement.Input {
 	return placement.Input{
-		Now: now, Demands: map[string]placement.Demand{}, Weights: placement.Weights{ColdSecond: 1, IdleHour: 20},
-		Speeds: placement.Speeds{RemoteMiB: 10, DiskMiB: 40, MemoryMiB: 100, LoadsPerSecond: 3, FullSpeed: 4},
+		Now: now, Demands: map[string]placement.Demand{}, Prices: placement.Prices{ColdStartSecond: 1, IdleAcceleratorHour: 20},
+		Speeds: placement.LoadSpeeds{RemoteMiBPerSecond: 10, DiskMiBPerSecond: 40, MemoryMiBPerSecond: 100, LoadsPerSecond: 3, FullSpeedLoads: 4},
 		Model: func(n string) (placement.Model, bool) {
 			for _, m := range models {
 				if m.Name == n {
@@ -146,11 +146,11 @@
 func TestTheBetterTierIsChosen(t *testing.T) {
 	in := oneServer(placement.Model{Name: "m", Version: "1", MemoryMiB: 80, MaxReplicas: 1})
 	in.Servers[1].Cached = map[string]placement.Tier{"m": placement.TierDisk}
-	in.Demands["m"] = placement.Demand{Waiting: 1, First: now.Add(time.Minute)}
+	in.Demands["m"] = placement.Demand{Waiting: 1, EarliestDeadline: now.Add(time.Minute)}
 	plan := placement.Decide(in)
 	require.Len(t, plan.Decisions, 1)
 	assert.Equal(t, "b", plan.Decisions[0].Server)
-	assert.Equal(t, now.Add(2300*time.Millisecond), plan.Forecasts["m"].Ready)
+	assert.Equal(t, now.Add(2300*time.Millisecond), plan.Forecasts["m"].ReadyAt)
 }
 
 func TestEarlierDeadlinesAreServedFirst(t *testing.T) {
@@ -159,8 +159,8 @@
 		placement.Model{Name: "soon", Version: "1", MemoryMiB: 80, MaxReplicas: 1},
 	)
 	in.Servers = in.Servers[:1]
-	in.Demands["late"] = placement.Demand{Waiting: 5, First: now.Add(time.Minute)}
-	in.Demands["soon"] = placement.Demand{Waiting: 1, First: now.Add(20 * time.Second)}
+	in.Demands["late"] = placement.Demand{Waiting: 5, EarliestDeadline: now.Add(time.Minute)}
+	in.Demands["soon"] = placement.Demand{Waiting: 1, EarliestDeadline: now.Add(20 * time.Second)}
 	plan := placement.Decide(in)
 	require.Len(t, plan.Decisions, 1)
 	assert.Equal(t, "soon", plan.Decisions[0].Target)
@@ -172,12 +172,12 @@
 		placement.Model{Name: "base", Version: "1", MemoryMiB: 50, MaxReplicas: 1},
 		placement.Model{Name: "adapter", Base: "base", Version: "1", MemoryMiB: 5, MaxReplicas: 1},
 	)
-	in.Demands["adapter"] = placement.Demand{Waiting: 1, First: now.Add(time.Minute)}
+	in.Demands["adapter"] = placement.Demand{Waiting: 1, EarliestDeadline: now.Add(time.Minute)}
 	plan := placement.Decide(in)
 	require.Len(t, plan.Decisions, 1)
 	assert.Equal(t, "base", plan.Decisions[0].Target)
 	in.Replicas = []placement.Replica{{
-		Number: 1, Target: "base", Version: "1", Server: "a", MemoryMiB: 50, State: placement.StateLoaded, Since: now, Used: now,
+		Number: 1, Target: "base", Version: "1", Server: "a", MemoryMiB: 50, State: placement.StateLoaded, Since: now, LastUsed: now,
 	}}
 	plan = placement.Decide(in)
 	require.Len(t, plan.Decisions, 1)
@@ -191,9 +191,9 @@
 	in := oneServer(placement.Model{Name: "m", Version: "1", MemoryMiB: 50, MaxReplicas: 1})
 	in.Servers[0].Usable, in.Servers[0].Lost = false, true
 	in.Replicas = []placement.Replica{{
-		Number: 1, Target: "m", Version: "1", Server: "a", MemoryMiB: 50, State: placement.StateLoaded, Since: now, Used: now,
+		Number: 1, Target: "m", Version: "1", Server: "a", MemoryMiB: 50, State: placement.StateLoaded, Since: now, LastUsed: now,
 	}}
-	in.Demands["m"] = placement.Demand{Waiting: 1, First: now.Add(time.Minute)}
+	in.Demands["m"] = placement.Demand{Waiting: 1, EarliestDeadline: now.Add(time.Minute)}
 	plan := placement.Decide(in)
 	assert.Empty(t, plan.Decisions)
 	assert.False(t, plan.Forecasts["m"].Possible)
@@ -205,16 +205,16 @@
 func TestExpectedVisitsAreLoadedAhead(t *testing.T) {
 	in := oneServer(placement.Model{Name: "m", Version: "1", MemoryMiB: 50, MaxReplicas: 1})
 	monday := time.Date(2026, 11, 2, 9, 0, 0, 0, time.UTC)
-	p := placement.NewPattern(monday.Add(-9 * time.Hour))
+	p := placement.NewArrivalPattern(monday.Add(-9 * time.Hour))
 	for i := range 19 {
 		at := monday.AddDate(0, 0, i)
 		if at.Weekday() != time.Saturday && at.Weekday() != time.Sunday {
-			p.Arrive(at.Add(10 * time.Minute))
+			p.RecordArrival(at.Add(10 * time.Minute))
 		}
 	}
-	in.Pattern = func(string) *placement.Pattern { return p }
-	in.Ahead = []string{"m"}
-	in.Weights.IdleHour = 0.5
+	in.Pattern = func(string) *placement.ArrivalPattern { return p }
+	in.PreloadCandidates = []string{"m"}
+	in.Prices.IdleAcceleratorHour = 0.5
 	in.Now = monday.AddDate(0, 0, 21).Add(-time.Minute)
 	plan := placement.Decide(in)
 	require.Len(t, plan.Decisions, 1)
--- a/internal/placement/idle.go
+++ b/internal/placement/idle.go
@@ -31,7 +31,7 @@
 
 func (w *world) demandFor(target string) int {
 	d := w.in.Demands[target]
-	return d.Waiting + d.Returning
+	return d.Waiting + d.ExpectedRetries
 }
 
 // evictionCost is the worth in seconds of what must go to make room.
@@ -61,7 +61,7 @@
 		} else if d > 0 {
 			return 1
 		}
-		return x.Used.Compare(y.Used)
+		return x.LastUsed.Compare(y.LastUsed)
 	})
 	var out []*Replica
 	var freed uint64
@@ -83,13 +83,13 @@
 		return 0
 	}
 	again := LoadTime(w.in.Speeds, max(w.tier(a, r.Target), TierDisk), m.MemoryMiB, w.remote).Seconds()
-	return again * w.pattern(r.Target).ChanceWithin(w.in.Now, w.in.Now.Sub(r.Used), soon)
+	return again * w.pattern(r.Target).ArrivalProbability(w.in.Now, w.in.Now.Sub(r.LastUsed), soon)
 }
 
 // soon is the time in which an eviction would be regretted.
 const soon = 10 * time.Minute
 
-func (w *world) pattern(target string) *Pattern {
+func (w *world) pattern(target string) *ArrivalPattern {
 	if w.in.Pattern == nil {
 		return nil
 	}
@@ -156,7 +156,7 @@
 	case w.have(m) > m.MaxReplicas:
 		return "above the upper bound"
 	}
-	if idle := w.in.Now.Sub(later(r.Used, r.Since)); !w.in.Settled && idle >= minStay && !w.pays(a, r, m, idle) {
+	if idle := w.in.Now.Sub(later(r.LastUsed, r.Since)); !w.in.SkipIdle && idle >= minStay && !w.pays(a, r, m, idle) {
 		return "idle"
 	}
 	return ""
@@ -172,11 +172,11 @@
 // pays reports whether an idle replica is worth its price. A replica that shares
 // its accelerator holds only its part of it idle.
 func (w *world) pays(a *accelerator, r *Replica, m Model, idle time.Duration) bool {
-	if w.in.Keep != nil {
-		return idle < w.in.Keep(*r)
+	if w.in.IdleTimeout != nil {
+		return idle < w.in.IdleTimeout(*r)
 	}
 	cold, held := w.prices(a, m)
-	return w.pattern(r.Target).Gain(w.in.Now, idle, cold, held, 0) > 0
+	return w.pattern(r.Target).HoldGain(w.in.Now, idle, cold, held, 0) > 0
 }
 
 // prices returns the price of a cold start of a model, were it to be loaded here
@@ -184,7 +184,7 @@
 func (w *world) prices(a *accelerator, m Model) (cold, idleHour float64) {
 	again := LoadTime(w.in.Speeds, max(w.tier(a, m.Name), TierDisk), m.MemoryMiB, 0).Seconds()
 	share := float64(m.MemoryMiB) / float64(a.total)
-	return again * w.in.Weights.ColdSecond, share * w.in.Weights.IdleHour
+	return again * w.in.Prices.ColdStartSecond, share * w.in.Prices.IdleAcceleratorHour
 }
 
 func (w *world) idleAccelerators() float64 {
--- a/internal/placement/input.go
+++ b/internal/placement/input.go
@@ -61,46 +61,46 @@
 	Accelerator int
 	MemoryMiB   uint64
 	State       State
-	// Ready is when a load is expected to end.
-	Ready time.Time
+	// ReadyAt is when a load is expected to end.
+	ReadyAt time.Time
 	// Since is when the state began.
 	Since time.Time
-	// Used is when the target last had a request; Running counts those that
+	// LastUsed is when the target last had a request; Running counts those that
 	// wait or run for the target now.
-	Used    time.Time
-	Running int
+	LastUsed time.Time
+	Running  int
 }
 
 // Demand is what waits for a target.
 type Demand struct {
 	Waiting int
-	// Returning were refused and told to come back when a replica is ready.
-	Returning int
-	// First is the earliest deadline among the waiting; zero: none.
-	First    time.Time
-	Priority int32
+	// ExpectedRetries were refused and told to come back when a replica is ready.
+	ExpectedRetries int
+	// EarliestDeadline is the earliest deadline among the waiting; zero: none.
+	EarliestDeadline time.Time
+	Priority         int32
 }
 
-// Speeds are what is believed about loads. See Learn.
-type Speeds struct {
-	// RemoteMiB, DiskMiB and MemoryMiB are rates of one load per second.
-	RemoteMiB float64
-	DiskMiB   float64
-	MemoryMiB float64
+// LoadSpeeds are what is believed about loads. See Learn.
+type LoadSpeeds struct {
+	// RemoteMiBPerSecond, DiskMiB and MemoryMiB are rates of one load per second.
+	RemoteMiBPerSecond float64
+	DiskMiBPerSecond   float64
+	MemoryMiBPerSecond float64
 	// LoadsPerSecond bounds the starts of remote loads; FullSpeed is how many
 	// run side by side without slowing each other.
 	LoadsPerSecond float64
-	FullSpeed      int
+	FullSpeedLoads int
 }
 
-// Weights are a deployment's prices.
-type Weights struct {
-	// ColdSecond is the price of a caller's wait of one second for a load.
-	ColdSecond float64
-	// IdleHour is the price of one accelerator that is held idle for an hour.
-	IdleHour float64
-	// PerReplica is the number of waiting requests that justify one replica.
-	PerReplica int
+// Prices are a deployment's prices.
+type Prices struct {
+	// ColdStartSecond is the price of a caller's wait of one second for a load.
+	ColdStartSecond float64
+	// IdleAcceleratorHour is the price of one accelerator that is held idle for an hour.
+	IdleAcceleratorHour float64
+	// WaitingPerReplica is the number of waiting requests that justify one replica.
+	WaitingPerReplica int
 }
 
 // Input is everything that a decision depends on.
@@ -109,22 +109,22 @@
 	Servers []Server
 	// Model returns a configured model; false when it is not configured.
 	Model func(name string) (Model, bool)
-	// Settled is true in rounds that need not look at idle replicas.
-	Settled bool
-	// Ahead names targets that may be loaded before anyone waits for them; a
+	// SkipIdle is true in rounds that need not look at idle replicas.
+	SkipIdle bool
+	// PreloadCandidates names targets that may be loaded before anyone waits for them; a
 	// few per decision keep its price low.
-	Ahead []string
+	PreloadCandidates []string
 	// Pinned names the models with a lower bound above 0.
 	Pinned   []string
 	Replicas []Replica
 	Demands  map[string]Demand
 	// Pattern returns what is learnt of a target's arrivals; nil: nothing.
-	Pattern func(name string) *Pattern
-	Speeds  Speeds
-	Weights Weights
-	// Keep, where set, replaces the learnt keep time of an idle replica: for
+	Pattern func(name string) *ArrivalPattern
+	Speeds  LoadSpeeds
+	Prices  Prices
+	// IdleTimeout, where set, replaces the learnt keep time of an idle replica: for
 	// baselines.
-	Keep func(r Replica) time.Duration
+	IdleTimeout func(r Replica) time.Duration
 }
 
 // Kind is what a decision asks for.
@@ -145,16 +145,16 @@
 	Accelerator int
 	// Replica is the number of the replica to unload.
 	Replica uint64
-	// Ready is when a load is expected to end.
-	Ready  time.Time
-	Reason string
+	// ReadyAt is when a load is expected to end.
+	ReadyAt time.Time
+	Reason  string
 }
 
 // Forecast is when a target that has none is expected to have a replica.
 type Forecast struct {
 	// Possible is false when nothing will be loaded; Reason tells why.
 	Possible bool
-	Ready    time.Time
+	ReadyAt  time.Time
 	Reason   string
 }
 
@@ -163,7 +163,7 @@
 	Decisions []Decision
 	// Forecasts has every target with a demand and no loaded replica.
 	Forecasts map[string]Forecast
-	// Idle is the number of accelerators held without a request now. A replica
+	// IdleAccelerators is the number of accelerators held without a request now. A replica
 	// holds the share of its accelerator that its memory takes.
-	Idle float64
+	IdleAccelerators float64
 }
--- a/internal/placement/learner.go
+++ b/internal/placement/learner.go
@@ -9,22 +9,24 @@
 	rateBound = 100.0
 )
 
-// Learner follows the rates of loads, so that forecasts and choices hold when
+// SpeedEstimator follows the rates of loads, so that forecasts and choices hold when
 // the weight store slows down. It is not safe for several goroutines.
-type Learner struct {
-	first Speeds
-	now   Speeds
+type SpeedEstimator struct {
+	first LoadSpeeds
+	now   LoadSpeeds
 }
 
-// NewLearner begins with the beliefs of the settings.
-func NewLearner(first Speeds) *Learner { return &Learner{first: first, now: first} }
+// NewSpeedEstimator begins with the beliefs of the settings.
+func NewSpeedEstimator(first LoadSpeeds) *SpeedEstimator {
+	return &SpeedEstimator{first: first, now: first}
+}
 
 // Speeds returns the present beliefs.
-func (l *Learner) Speeds() Speeds { return l.now }
+func (l *SpeedEstimator) Speeds() LoadSpeeds { return l.now }
 
-// Learn takes note of a finished load. Loads that are dominated by their
+// Observe takes note of a finished load. Loads that are dominated by their
 // overhead say nothing about a rate.
-func (l *Learner) Learn(t Tier, mib uint64, took time.Duration) {
+func (l *SpeedEstimator) Observe(t Tier, mib uint64, took time.Duration) {
 	transfer := (took - loadOverhead).Seconds()
 	if transfer <= 0 {
 		return
@@ -32,11 +34,11 @@
 	rate := float64(mib) / transfer
 	switch t {
 	case TierRemote:
-		l.now.RemoteMiB = blend(l.first.RemoteMiB, l.now.RemoteMiB, rate)
+		l.now.RemoteMiBPerSecond = blend(l.first.RemoteMiBPerSecond, l.now.RemoteMiBPerSecond, rate)
 	case TierDisk:
-		l.now.DiskMiB = blend(l.first.DiskMiB, l.now.DiskMiB, rate)
+		l.now.DiskMiBPerSecond = blend(l.first.DiskMiBPerSecond, l.now.DiskMiBPerSecond, rate)
 	case TierMemory:
-		l.now.MemoryMiB = blend(l.first.MemoryMiB, l.now.MemoryMiB, rate)
+		l.now.MemoryMiBPerSecond = blend(l.first.MemoryMiBPerSecond, l.now.MemoryMiBPerSecond, rate)
 	}
 }
 
--- a/internal/placement/pattern.go
+++ b/internal/placement/pattern.go
@@ -33,9 +33,9 @@
 	workDays  = 5.0
 )
 
-// Pattern is what is learnt of one target's arrivals. It is not safe for
+// ArrivalPattern is what is learnt of one target's arrivals. It is not safe for
 // several goroutines.
-type Pattern struct {
+type ArrivalPattern struct {
 	// gaps counts the gaps from 2^i to 2^(i+1) seconds, aged by decay.
 	gaps [gapClasses]float32
 	// visits counts the visits by kind of day and time of day.
@@ -45,11 +45,11 @@
 	last   time.Time
 }
 
-// NewPattern returns a pattern that has been watched since a time.
-func NewPattern(began time.Time) *Pattern { return &Pattern{began: began} }
+// NewArrivalPattern returns a pattern that has been watched since a time.
+func NewArrivalPattern(began time.Time) *ArrivalPattern { return &ArrivalPattern{began: began} }
 
-// Arrive takes note of an arrival.
-func (p *Pattern) Arrive(at time.Time) {
+// RecordArrival takes note of an arrival.
+func (p *ArrivalPattern) RecordArrival(at time.Time) {
 	if at.Before(p.last) {
 		return
 	}
@@ -94,7 +94,7 @@
 
 // rate returns the expected visits per hour at a time: what was seen at that
 // time of day, drawn towards the mean over all times.
-func (p *Pattern) rate(at, now time.Time) float64 {
+func (p *ArrivalPattern) rate(at, now time.Time) float64 {
 	watched := max(now.Sub(p.began).Hours(), 1)
 	mean := float64(p.total) / watched
 	kind, bin := binOf(at)
@@ -108,7 +108,7 @@
 
 // hazard returns the expected arrivals per hour at a time, for a target that
 // has been idle for a time by then.
-func (p *Pattern) hazard(at, now time.Time, idle time.Duration) float64 {
+func (p *ArrivalPattern) hazard(at, now time.Time, idle time.Duration) float64 {
 	rate := p.rate(at, now)
 	if idle >= shortAge {
 		return rate
@@ -123,12 +123,12 @@
 	return max(rate, (float64(p.gaps[class])+prior)/later/width)
 }
 
-// Gain returns the highest expected gain of holding a replica from now on for
+// HoldGain returns the highest expected gain of holding a replica from now on for
 // some time, for a target that has been idle for a time: the price of the cold
 // start that is spared, by its chance, less the price of the idle time until
 // then. 0 means that letting it go now is best. The search ends as soon as the
 // gain is above enough. A nil Pattern expects nothing.
-func (p *Pattern) Gain(now time.Time, idle time.Duration, coldPrice, idlePrice, enough float64) float64 {
+func (p *ArrivalPattern) HoldGain(now time.Time, idle time.Duration, coldPrice, idlePrice, enough float64) float64 {
 	if p == nil {
 		return 0
 	}
@@ -146,24 +146,24 @@
 	return best
 }
 
-// ChanceWithin returns the chance of an arrival in the time ahead, for a target
+// ArrivalProbability returns the chance of an arrival in the time ahead, for a target
 // that has been idle for a time already.
-func (p *Pattern) ChanceWithin(now time.Time, idle, ahead time.Duration) float64 {
+func (p *ArrivalPattern) ArrivalProbability(now time.Time, idle, ahead time.Duration) float64 {
 	if p == nil {
 		return 0
 	}
 	return 1 - math.Exp(-p.hazard(now.Add(ahead/2), now, idle+ahead/2)*ahead.Hours())
 }
 
-// IdlePerDay returns the expected hours per day that a replica is held idle, by
+// IdleHoursPerDay returns the expected hours per day that a replica is held idle, by
 // the visits seen so far and the gains at these prices.
-func (p *Pattern) IdlePerDay(now time.Time, coldPrice, idlePrice float64) float64 {
+func (p *ArrivalPattern) IdleHoursPerDay(now time.Time, coldPrice, idlePrice float64) float64 {
 	if p == nil {
 		return 0
 	}
 	held := time.Duration(0)
 	for at := time.Duration(0); at < 24*time.Hour; at += binWidth {
-		if p.Gain(now.Add(at), shortAge, coldPrice, idlePrice, 0) > 0 {
+		if p.HoldGain(now.Add(at), shortAge, coldPrice, idlePrice, 0) > 0 {
 			held += binWidth
 		}
 	}
--- a/internal/quarantine/completed.go
+++ b/internal/quarantine/completed.go
@@ -40,16 +40,16 @@
 	return &Completed{now: now, seed: maphash.MakeSeed()}
 }
 
-// Note notes that a request has run to its end.
-func (c *Completed) Note(r Request) {
+// Record notes that a request has run to its end.
+func (c *Completed) Record(r Request) {
 	sum := r.sum(c.seed)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.slots[sum%completedSlots] = completion{sum, c.now()}
 }
 
-// Lately reports whether a request has lately run to its end.
-func (c *Completed) Lately(r Request) bool {
+// Recently reports whether a request has lately run to its end.
+func (c *Completed) Recently(r Request) bool {
 	sum := r.sum(c.seed)
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/quarantine/completed_test.go
+++ b/internal/quarantine/completed_test.go
@@ -15,14 +15,14 @@
 	c := &clock{time.Unix(1e9, 0)}
 	done := quarantine.NewCompleted(c.now)
 	ran, other := quarantine.Request{Target: "/a", Body: []byte("1")}, quarantine.Request{Target: "/a", Body: []byte("2")}
-	require.False(t, done.Lately(ran))
-	done.Note(ran)
-	require.True(t, done.Lately(ran))
-	require.False(t, done.Lately(other))
+	require.False(t, done.Recently(ran))
+	done.Record(ran)
+	require.True(t, done.Recently(ran))
+	require.False(t, done.Recently(other))
 	c.at = c.at.Add(20 * time.Second)
-	require.True(t, done.Lately(ran))
+	require.True(t, done.Recently(ran))
 	c.at = c.at.Add(11 * time.Second)
-	require.False(t, done.Lately(ran))
+	require.False(t, done.Recently(ran))
 }
 
 // What a request costs that nobody suspects: a note that it has run to its end.
@@ -33,7 +33,7 @@
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				done.Note(q)
+				done.Record(q)
 			}
 		})
 	}
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -24,20 +24,20 @@
 type GuardConfig struct {
 	// Entry tells this entry from all others.
 	Entry string
-	// Presence tells what becomes of a new connection to a server's address.
-	Presence func(ctx context.Context, address string) relay.Presence
-	// Changed is called when this entry has found what others do not know: the next repeat
+	// Probe tells what becomes of a new connection to a server's address.
+	Probe func(ctx context.Context, address string) relay.Presence
+	// OnChange is called when this entry has found what others do not know: the next repeat
 	// comes to any of them.
-	Changed func()
-	Log     logr.Logger
+	OnChange func()
+	Log      logr.Logger
 }
 
 // Guard decides for one entry which requests are held back from its servers, and which are
 // accused when a server ends. All methods are safe from any goroutine.
 type Guard struct {
 	changed   func()
-	book      *Book
-	inquest   *Inquest
+	book      *SuspectSet
+	inquest   *ServerProber
 	completed *Completed
 	log       logr.Logger
 
@@ -48,7 +48,7 @@
 
 // try is the only one of a request's repeats that may reach a server.
 type try struct {
-	by *Subject
+	by *KeyedRequest
 	// until is when the next may try, where nothing has become of this one.
 	until time.Time
 }
@@ -57,34 +57,34 @@
 func NewGuard(cfg GuardConfig) *Guard {
 	log := cfg.Log.WithName("quarantine")
 	g := &Guard{
-		changed:   cfg.Changed,
-		book:      New(Config{Entry: cfg.Entry, Now: time.Now, Log: log}),
+		changed:   cfg.OnChange,
+		book:      NewSuspectSet(SuspectSetConfig{Entry: cfg.Entry, Now: time.Now, Log: log}),
 		completed: NewCompleted(time.Now),
 		log:       log,
 		tries:     map[Key]try{},
 	}
-	g.inquest = NewInquest(InquestConfig{Presence: cfg.Presence, Ended: g.accuse, Log: cfg.Log.WithName("inquest")})
+	g.inquest = NewServerProber(ServerProberConfig{Probe: cfg.Probe, OnEnded: g.accuse, Log: cfg.Log.WithName("inquest")})
 	return g
 }
 
 // Close ends the guard's inquest.
 func (g *Guard) Close() { g.inquest.Close() }
 
-// Book is what the entry knows.
-func (g *Guard) Book() *Book { return g.book }
+// Suspects is what the entry knows.
+func (g *Guard) Suspects() *SuspectSet { return g.book }
 
 // HeldBack returns for how long a request is held back, and whether it is: servers ended
 // that ran it. It is looked at before each attempt: the word may come while the request
 // waits, or from its own last attempt. Once the time is over, one subject may try.
-func (g *Guard) HeldBack(s *Subject) (time.Duration, bool) {
+func (g *Guard) HeldBack(s *KeyedRequest) (time.Duration, bool) {
 	if !g.suspects(s) {
 		return 0, false
 	}
-	left, held := g.book.Held(s.Key())
+	left, held := g.book.HeldBack(s.Key())
 	switch {
 	case !held:
 		return 0, false
-	case g.completed.Lately(s.Request):
+	case g.completed.Recently(s.Request):
 		// Others have met servers that ended; here it has run to its end.
 		g.Clear(s.Key())
 		return 0, false
@@ -96,7 +96,7 @@
 
 // tryOrWait returns how long a subject has to wait for another that tries; where none does, it
 // tries itself.
-func (g *Guard) tryOrWait(s *Subject) (time.Duration, bool) {
+func (g *Guard) tryOrWait(s *KeyedRequest) (time.Duration, bool) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -112,19 +112,19 @@
 	return 0, false
 }
 
-// Await waits, before an attempt, until it is known whether the servers have ended at which
+// AwaitProbes waits, before an attempt, until it is known whether the servers have ended at which
 // the request has broken off, where these are enough for it to be held back. Attempts
 // otherwise follow each other faster than the first server's end is found out, and one request
 // ends a server with each that it has left.
-func (g *Guard) Await(ctx context.Context, s *Subject) {
+func (g *Guard) AwaitProbes(ctx context.Context, s *KeyedRequest) {
 	if g.inquest.Idle() {
 		return
 	}
 	timer := time.NewTimer(awaitMost)
 	defer timer.Stop()
 	for {
-		open, concluded := g.inquest.Open(s.Key())
-		if open == 0 || open+g.book.Blamed(s.Key()) < enough {
+		open, concluded := g.inquest.Pending(s.Key())
+		if open == 0 || open+g.book.UnclearedCount(s.Key()) < enough {
 			return
 		}
 		select {
@@ -139,21 +139,21 @@
 
 // suspects reports whether a request may be under suspicion. For most it costs no digest of
 // the body.
-func (g *Guard) suspects(s *Subject) bool {
-	return !g.book.Empty() && g.book.Suspects(s.Hint())
+func (g *Guard) suspects(s *KeyedRequest) bool {
+	return !g.book.Empty() && g.book.MayContain(s.Hint())
 }
 
-// BrokeOff has the end of a server looked into at which an attempt broke off. A request that
+// AttemptFailed has the end of a server looked into at which an attempt broke off. A request that
 // has just run to its end elsewhere has not ended this server.
-func (g *Guard) BrokeOff(s *Subject, server, address string) {
-	if !g.completed.Lately(s.Request) {
-		g.inquest.BrokeOff(server, address, s.Key())
+func (g *Guard) AttemptFailed(s *KeyedRequest, server, address string) {
+	if !g.completed.Recently(s.Request) {
+		g.inquest.AttemptFailed(server, address, s.Key())
 	}
 }
 
-// RanWhole notes that a server lived through a request.
-func (g *Guard) RanWhole(s *Subject) {
-	g.completed.Note(s.Request)
+// AttemptCompleted notes that a server lived through a request.
+func (g *Guard) AttemptCompleted(s *KeyedRequest) {
+	g.completed.Record(s.Request)
 	if g.suspects(s) {
 		g.Clear(s.Key())
 	}
@@ -171,7 +171,7 @@
 // accuse notes that a server ended under requests.
 func (g *Guard) accuse(server string, keys []Key) {
 	for _, key := range keys {
-		g.book.Accuse(key, server)
+		g.book.RecordEnded(key, server)
 	}
 	g.changed()
 }
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -36,25 +36,25 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := quarantine.NewGuard(quarantine.GuardConfig{
 					Entry: "entry",
-					Presence: func(context.Context, string) relay.Presence {
+					Probe: func(context.Context, string) relay.Presence {
 						if x.answer == relay.PresenceSilent {
 							time.Sleep(500 * time.Millisecond)
 						}
 						time.Sleep(asked)
 						return x.answer
 					},
-					Changed: func() {}, Log: logr.Discard(),
+					OnChange: func() {}, Log: logr.Discard(),
 				})
 				defer g.Close()
-				s := quarantine.NewSubject(quarantine.Request{Method: "PUT", Target: "/book", Body: []byte("harmful")})
-				other := quarantine.NewSubject(quarantine.Request{Method: "PUT", Target: "/book", Body: []byte("ordinary")})
+				s := quarantine.NewKeyedRequest(quarantine.Request{Method: "PUT", Target: "/book", Body: []byte("harmful")})
+				other := quarantine.NewKeyedRequest(quarantine.Request{Method: "PUT", Target: "/book", Body: []byte("ordinary")})
 				for i := range x.broken {
-					g.BrokeOff(s, fmt.Sprint("app-", i), fmt.Sprint("a:", i))
+					g.AttemptFailed(s, fmt.Sprint("app-", i), fmt.Sprint("a:", i))
 				}
 				began := time.Now()
-				g.Await(t.Context(), other)
+				g.AwaitProbes(t.Context(), other)
 				require.Zero(t, time.Since(began))
-				g.Await(t.Context(), s)
+				g.AwaitProbes(t.Context(), s)
 				require.Equal(t, x.waits, time.Since(began))
 				_, held := g.HeldBack(s)
 				require.Equal(t, x.held, held)
@@ -67,20 +67,20 @@
 // well.
 func TestInquestAccusesWhatBreaksOffMeanwhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var q *quarantine.Inquest
+		var q *quarantine.ServerProber
 		one, two := keyOf("/1"), keyOf("/2")
 		var found []quarantine.Key
-		q = quarantine.NewInquest(quarantine.InquestConfig{
-			Presence: func(context.Context, string) relay.Presence { return relay.PresenceRefused },
-			Ended: func(_ string, keys []quarantine.Key) {
+		q = quarantine.NewServerProber(quarantine.ServerProberConfig{
+			Probe: func(context.Context, string) relay.Presence { return relay.PresenceRefused },
+			OnEnded: func(_ string, keys []quarantine.Key) {
 				if found = append(found, keys...); len(found) == 1 {
-					q.BrokeOff("s", "a:1", two)
+					q.AttemptFailed("s", "a:1", two)
 				}
 			},
 			Log: logr.Discard(),
 		})
 		defer q.Close()
-		q.BrokeOff("s", "a:1", one)
+		q.AttemptFailed("s", "a:1", one)
 		synctest.Wait()
 		require.Equal(t, []quarantine.Key{one, two}, found)
 		require.True(t, q.Idle())
--- a/internal/quarantine/inquest.go
+++ b/internal/quarantine/inquest.go
@@ -33,20 +33,20 @@
 	keysLogged = 16
 )
 
-// InquestConfig configures an Inquest. All fields are required.
-type InquestConfig struct {
-	Presence func(ctx context.Context, address string) relay.Presence
-	// Ended is told of the requests whose attempts broke off as their server ended.
-	Ended func(server string, keys []Key)
-	Log   logr.Logger
+// ServerProberConfig configures an Inquest. All fields are required.
+type ServerProberConfig struct {
+	Probe func(ctx context.Context, address string) relay.Presence
+	// OnEnded is told of the requests whose attempts broke off as their server ended.
+	OnEnded func(server string, keys []Key)
+	Log     logr.Logger
 }
 
-// Inquest finds out, where attempts break off, whether the server has ended: then the
+// ServerProber finds out, where attempts break off, whether the server has ended: then the
 // requests that it ran may be the reason. An answer that is lost, a path that is cut and
 // a server that is slow say nothing about a request. All methods are safe from any
 // goroutine.
-type Inquest struct {
-	cfg   InquestConfig
+type ServerProber struct {
+	cfg   ServerProberConfig
 	queue chan *inquiry
 	ctx   context.Context
 	stop  context.CancelFunc
@@ -77,9 +77,9 @@
 	found time.Time
 }
 
-// NewInquest starts an inquest.
-func NewInquest(cfg InquestConfig) *Inquest {
-	q := &Inquest{
+// NewServerProber starts an inquest.
+func NewServerProber(cfg ServerProberConfig) *ServerProber {
+	q := &ServerProber{
 		cfg: cfg, queue: make(chan *inquiry, inquestQueue), done: make(chan struct{}),
 		inquiries: map[string]*inquiry{}, concluded: make(chan struct{}),
 	}
@@ -100,13 +100,13 @@
 }
 
 // Close ends the inquest.
-func (q *Inquest) Close() {
+func (q *ServerProber) Close() {
 	q.stop()
 	<-q.done
 }
 
-// BrokeOff notes that an attempt broke off at a server.
-func (q *Inquest) BrokeOff(server, address string, key Key) {
+// AttemptFailed notes that an attempt broke off at a server.
+func (q *ServerProber) AttemptFailed(server, address string, key Key) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.forget(time.Now())
@@ -132,11 +132,11 @@
 }
 
 // Idle reports whether no server's end is being looked into.
-func (q *Inquest) Idle() bool { return q.asking.Load() == 0 }
+func (q *ServerProber) Idle() bool { return q.asking.Load() == 0 }
 
-// Open returns of how many servers, at which attempts of a request broke off, it is not known
+// Pending returns of how many servers, at which attempts of a request broke off, it is not known
 // yet whether they have ended, and a channel that is closed when the next inquiry is over.
-func (q *Inquest) Open(key Key) (servers int, concluded <-chan struct{}) {
+func (q *ServerProber) Pending(key Key) (servers int, concluded <-chan struct{}) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, i := range q.inquiries {
@@ -148,7 +148,7 @@
 }
 
 // forget drops what was found long ago; mu is held.
-func (q *Inquest) forget(now time.Time) {
+func (q *ServerProber) forget(now time.Time) {
 	for server, i := range q.inquiries {
 		if !i.asking && now.Sub(i.found) > inquestForget {
 			delete(q.inquiries, server)
@@ -156,7 +156,7 @@
 	}
 }
 
-func (q *Inquest) run() {
+func (q *ServerProber) run() {
 	for {
 		select {
 		case <-q.ctx.Done():
@@ -168,7 +168,7 @@
 }
 
 // ask tries an address unless its server is known to have ended.
-func (q *Inquest) ask(i *inquiry) {
+func (q *ServerProber) ask(i *inquiry) {
 	q.mu.Lock()
 	known := i.ended
 	q.mu.Unlock()
@@ -177,7 +177,7 @@
 		if try > 0 && !q.pause() {
 			return
 		}
-		if presence = q.cfg.Presence(q.ctx, i.address); presence == relay.PresenceRefused {
+		if presence = q.cfg.Probe(q.ctx, i.address); presence == relay.PresenceRefused {
 			break
 		}
 	}
@@ -187,7 +187,7 @@
 	q.conclude(i, presence)
 }
 
-func (q *Inquest) pause() bool {
+func (q *ServerProber) pause() bool {
 	select {
 	case <-q.ctx.Done():
 		return false
@@ -198,7 +198,7 @@
 
 // conclude tells what an address has answered. Until all are accused who ran there the
 // inquiry stays open: what repeats meanwhile has to wait for just that.
-func (q *Inquest) conclude(i *inquiry, presence relay.Presence) {
+func (q *ServerProber) conclude(i *inquiry, presence relay.Presence) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	i.ended = presence == relay.PresenceRefused
@@ -211,7 +211,7 @@
 			break
 		}
 		q.mu.Unlock()
-		q.cfg.Ended(i.server, keys)
+		q.cfg.OnEnded(i.server, keys)
 		q.mu.Lock()
 		if told == len(i.keys) {
 			break
--- a/internal/quarantine/inquest_test.go
+++ b/internal/quarantine/inquest_test.go
@@ -35,14 +35,14 @@
 				var mu sync.Mutex
 				var found []quarantine.Key
 				asked := 0
-				q := quarantine.NewInquest(quarantine.InquestConfig{
-					Presence: func(context.Context, string) relay.Presence {
+				q := quarantine.NewServerProber(quarantine.ServerProberConfig{
+					Probe: func(context.Context, string) relay.Presence {
 						mu.Lock()
 						defer mu.Unlock()
 						asked++
 						return x.answers[min(asked, len(x.answers))-1]
 					},
-					Ended: func(_ string, keys []quarantine.Key) {
+					OnEnded: func(_ string, keys []quarantine.Key) {
 						mu.Lock()
 						defer mu.Unlock()
 						found = append(found, keys...)
@@ -51,8 +51,8 @@
 				})
 				defer q.Close()
 				one, two := keyOf("/1"), keyOf("/2")
-				q.BrokeOff("s", "a:1", one)
-				q.BrokeOff("s", "a:1", two)
+				q.AttemptFailed("s", "a:1", one)
+				q.AttemptFailed("s", "a:1", two)
 				time.Sleep(time.Second)
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/quarantine/key.go
+++ b/internal/quarantine/key.go
@@ -28,15 +28,15 @@
 // digest of a long body takes as long as sending it on.
 type Hint uint64
 
-// ErrKey says that a text is no key.
-var ErrKey = errors.New("not a request's key")
+// ErrInvalidKey says that a text is no key.
+var ErrInvalidKey = errors.New("not a request's key")
 
 // ParseKey reads what String returns.
 func ParseKey(text string) (Key, error) {
 	var k Key
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != len(k) {
-		return Key{}, errors.Newf("%q: %w", text, ErrKey)
+		return Key{}, errors.Newf("%q: %w", text, ErrInvalidKey)
 	}
 	copy(k[:], data)
 	return k, nil
@@ -60,27 +60,27 @@
 	Body   []byte
 }
 
-// Subject is a request at one entry. It belongs to one goroutine.
-type Subject struct {
+// KeyedRequest is a request at one entry. It belongs to one goroutine.
+type KeyedRequest struct {
 	Request
 	// key is the request's, the zero value before it was needed: the digest of a long body
 	// takes as long as sending it on.
 	key Key
 }
 
-// NewSubject returns a request as a subject.
-func NewSubject(r Request) *Subject { return &Subject{Request: r} }
+// NewKeyedRequest returns a request as a subject.
+func NewKeyedRequest(r Request) *KeyedRequest { return &KeyedRequest{Request: r} }
 
 // Key returns the request's key.
-func (s *Subject) Key() Key {
+func (s *KeyedRequest) Key() Key {
 	if s.key == (Key{}) {
 		s.key = s.Request.Key()
 	}
 	return s.key
 }
 
-// Known returns the request's key as text, or "" where nobody has needed it yet.
-func (s *Subject) Known() string {
+// ComputedKey returns the request's key as text, or "" where nobody has needed it yet.
+func (s *KeyedRequest) ComputedKey() string {
 	if s == nil || s.key == (Key{}) {
 		return ""
 	}
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -42,20 +42,20 @@
 	serversMost = 16
 )
 
-// Config configures a Book. All fields are required.
-type Config struct {
+// SuspectSetConfig configures a Book. All fields are required.
+type SuspectSetConfig struct {
 	// Entry tells the entry whose book it is from all others; "" at control hosts.
 	Entry string
 	Now   func() time.Time
 	Log   logr.Logger
 }
 
-// Book is what a host knows of requests under which servers ended. Books are brought
+// SuspectSet is what a host knows of requests under which servers ended. Books are brought
 // together by telling each other: the same words in any order, once or more often, make the
 // same book, so that evidence of several entries adds up and no host's loss takes it away.
 // All methods are safe from any goroutine.
-type Book struct {
-	cfg Config
+type SuspectSet struct {
+	cfg SuspectSetConfig
 	// size is the number of records, for those who need not look.
 	size atomic.Int64
 
@@ -103,26 +103,26 @@
 	return r.last.Add(holdFirst << min(n-enough, holdDoublings))
 }
 
-// New returns an empty book.
-func New(cfg Config) *Book {
-	return &Book{cfg: cfg, records: map[Key]*record{}, hints: map[Hint]int{}, held: make(chan struct{})}
+// NewSuspectSet returns an empty book.
+func NewSuspectSet(cfg SuspectSetConfig) *SuspectSet {
+	return &SuspectSet{cfg: cfg, records: map[Key]*record{}, hints: map[Hint]int{}, held: make(chan struct{})}
 }
 
 // Empty reports whether no request is under suspicion.
-func (b *Book) Empty() bool { return b.size.Load() == 0 }
+func (b *SuspectSet) Empty() bool { return b.size.Load() == 0 }
 
-// Suspects reports whether a request may be under suspicion whose key has a hint.
-func (b *Book) Suspects(h Hint) bool {
+// MayContain reports whether a request may be under suspicion whose key has a hint.
+func (b *SuspectSet) MayContain(h Hint) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.hints[h] > 0
 }
 
-// Held reports whether enough servers ended under a request, and for how long it is held
+// HeldBack reports whether enough servers ended under a request, and for how long it is held
 // back then; once that is over, it may try again. Each entry has a time of its own: where it
 // is over at all of them at once, a caller that repeats at each of them ends a server with
 // each, before any of them has heard of the first.
-func (b *Book) Held(key Key) (time.Duration, bool) {
+func (b *SuspectSet) HeldBack(key Key) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.records[key]
@@ -135,8 +135,8 @@
 	return max(until.Add(time.Duration(own)).Sub(b.cfg.Now()), 0), true
 }
 
-// Blamed returns how many servers count against a request.
-func (b *Book) Blamed(key Key) int {
+// UnclearedCount returns how many servers count against a request.
+func (b *SuspectSet) UnclearedCount(key Key) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.records[key]; r != nil {
@@ -145,8 +145,8 @@
 	return 0
 }
 
-// HeldCount returns how many requests are held back.
-func (b *Book) HeldCount() int {
+// HeldBackCount returns how many requests are held back.
+func (b *SuspectSet) HeldBackCount() int {
 	if b.Empty() {
 		return 0
 	}
@@ -162,7 +162,7 @@
 }
 
 // List returns all requests under suspicion, those that are held back for the longest first.
-func (b *Book) List() []*schema.SuspectView {
+func (b *SuspectSet) List() []*schema.SuspectView {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.cfg.Now()
@@ -189,14 +189,14 @@
 
 // Changed returns a channel that is closed when the next request is held back, or no
 // longer.
-func (b *Book) Changed() <-chan struct{} {
+func (b *SuspectSet) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.held
 }
 
-// Accuse notes that a server ended under a request.
-func (b *Book) Accuse(key Key, server string) {
+// RecordEnded notes that a server ended under a request.
+func (b *SuspectSet) RecordEnded(key Key, server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.record(key)
@@ -211,7 +211,7 @@
 
 // Clear notes that a request has run to its end: it does not end servers by itself. It
 // reports whether that is news.
-func (b *Book) Clear(key Key) bool {
+func (b *SuspectSet) Clear(key Key) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.records[key]
@@ -228,7 +228,7 @@
 }
 
 // record returns what is known of a request; mu is held.
-func (b *Book) record(key Key) *record {
+func (b *SuspectSet) record(key Key) *record {
 	r := b.records[key]
 	if r == nil {
 		b.forget()
@@ -241,7 +241,7 @@
 }
 
 // note numbers a change; mu is held.
-func (b *Book) note(r *record, own bool) {
+func (b *SuspectSet) note(r *record, own bool) {
 	b.change++
 	r.change = b.change
 	if own {
@@ -250,7 +250,7 @@
 }
 
 // tell logs where a request is held back from now on, for longer or no longer; mu is held.
-func (b *Book) tell(key Key, r *record, before time.Time) {
+func (b *SuspectSet) tell(key Key, r *record, before time.Time) {
 	until := r.until()
 	if until.Equal(before) {
 		return
@@ -262,7 +262,7 @@
 }
 
 // drop forgets one request; mu is held.
-func (b *Book) drop(key Key) {
+func (b *SuspectSet) drop(key Key) {
 	delete(b.records, key)
 	if b.hints[key.Hint()]--; b.hints[key.Hint()] == 0 {
 		delete(b.hints, key.Hint())
@@ -270,7 +270,7 @@
 }
 
 // expire drops what is over; mu is held.
-func (b *Book) expire() {
+func (b *SuspectSet) expire() {
 	now := b.cfg.Now()
 	b.expired = now
 	for key, r := range b.records {
@@ -282,7 +282,7 @@
 }
 
 // forget drops what is over, and what weighs least where there is too much; mu is held.
-func (b *Book) forget() {
+func (b *SuspectSet) forget() {
 	if len(b.records) < recordsMost {
 		return
 	}
@@ -331,7 +331,7 @@
 
 // Since returns what has changed in a part since a change, 0 for all, and up to which
 // change that is: a bounded number of records, the rest with the next call.
-func (b *Book) Since(after uint64, part Part) ([]*schema.Suspect, uint64) {
+func (b *SuspectSet) Since(after uint64, part Part) ([]*schema.Suspect, uint64) {
 	if b.Empty() {
 		return nil, after
 	}
@@ -339,7 +339,7 @@
 }
 
 // since is Since with at most so many records.
-func (b *Book) since(after uint64, part Part, most int) ([]*schema.Suspect, uint64) {
+func (b *SuspectSet) since(after uint64, part Part, most int) ([]*schema.Suspect, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.cfg.Now().Sub(b.expired) > expireEvery {
@@ -368,7 +368,7 @@
 }
 
 // message needs mu.
-func (b *Book) message(key Key) *schema.Suspect {
+func (b *SuspectSet) message(key Key) *schema.Suspect {
 	r := b.records[key]
 	s := &schema.Suspect{Key: key[:], AgeMs: b.cfg.Now().Sub(r.last).Milliseconds()}
 	for _, server := range slices.Sorted(maps.Keys(r.ended)) {
@@ -377,8 +377,8 @@
 	return s
 }
 
-// Take takes in what another host tells. It reports whether any of it is news.
-func (b *Book) Take(list []*schema.Suspect, fromLeader bool) bool {
+// Merge takes in what another host tells. It reports whether any of it is news.
+func (b *SuspectSet) Merge(list []*schema.Suspect, fromLeader bool) bool {
 	if len(list) == 0 {
 		return false
 	}
@@ -398,7 +398,7 @@
 }
 
 // merge adds what is said of a request to what is known; mu is held.
-func (b *Book) merge(key Key, s *schema.Suspect, own bool) bool {
+func (b *SuspectSet) merge(key Key, s *schema.Suspect, own bool) bool {
 	r := b.record(key)
 	before, more, changed := r.until(), false, false
 	for _, e := range s.GetEnded() {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -20,14 +20,14 @@
 
 func (c *clock) now() time.Time { return c.at }
 
-func newBook(c *clock) *quarantine.Book {
-	return quarantine.New(quarantine.Config{Now: c.now, Log: logr.Discard()})
+func newBook(c *clock) *quarantine.SuspectSet {
+	return quarantine.NewSuspectSet(quarantine.SuspectSetConfig{Now: c.now, Log: logr.Discard()})
 }
 
 func keyOf(target string) quarantine.Key { return quarantine.Request{Target: target}.Key() }
 
-func held(b *quarantine.Book, key quarantine.Key) bool {
-	left, yes := b.Held(key)
+func held(b *quarantine.SuspectSet, key quarantine.Key) bool {
+	left, yes := b.HeldBack(key)
 	return yes && left > 0
 }
 
@@ -47,7 +47,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBook(&clock{time.Unix(1e9, 0)})
 			for _, s := range x.servers {
-				b.Accuse(keyOf("/1"), s)
+				b.RecordEnded(keyOf("/1"), s)
 			}
 			require.Equal(t, x.held, held(b, keyOf("/1")))
 			require.False(t, held(b, keyOf("/2")))
@@ -60,14 +60,14 @@
 func TestRunToItsEndClears(t *testing.T) {
 	b := newBook(&clock{time.Unix(1e9, 0)})
 	key := keyOf("/1")
-	b.Accuse(key, "a")
-	b.Accuse(key, "b")
+	b.RecordEnded(key, "a")
+	b.RecordEnded(key, "b")
 	require.True(t, b.Clear(key))
 	require.False(t, b.Clear(key))
-	b.Accuse(key, "c")
-	b.Accuse(key, "d")
+	b.RecordEnded(key, "c")
+	b.RecordEnded(key, "d")
 	require.False(t, held(b, key))
-	b.Accuse(key, "e")
+	b.RecordEnded(key, "e")
 	require.True(t, held(b, key))
 	require.True(t, b.Clear(key))
 	require.False(t, held(b, key))
@@ -79,16 +79,16 @@
 	c := &clock{time.Unix(1e9, 0)}
 	b, key := newBook(c), keyOf("/1")
 	for i := range 3 {
-		b.Accuse(key, strconv.Itoa(i))
+		b.RecordEnded(key, strconv.Itoa(i))
 	}
-	first, yes := b.Held(key)
+	first, yes := b.HeldBack(key)
 	require.True(t, yes)
 	c.at = c.at.Add(first - time.Millisecond)
 	require.True(t, held(b, key))
 	c.at = c.at.Add(2 * time.Millisecond)
 	require.False(t, held(b, key))
-	b.Accuse(key, "another")
-	second, yes := b.Held(key)
+	b.RecordEnded(key, "another")
+	second, yes := b.HeldBack(key)
 	require.True(t, yes)
 	require.Equal(t, 2*first, second)
 }
@@ -99,7 +99,7 @@
 	for seed := range int64(300) {
 		random := rand.New(rand.NewSource(seed))
 		c := &clock{time.Unix(1e9, 0)}
-		books := make([]*quarantine.Book, 4)
+		books := make([]*quarantine.SuspectSet, 4)
 		for i := range books {
 			books[i] = newBook(c)
 		}
@@ -111,18 +111,18 @@
 				servers[key] = map[int]bool{}
 			}
 			servers[key][server] = true
-			books[random.Intn(len(books))].Accuse(keyOf(fmt.Sprint(key)), fmt.Sprint(server))
+			books[random.Intn(len(books))].RecordEnded(keyOf(fmt.Sprint(key)), fmt.Sprint(server))
 			if random.Intn(3) == 0 {
 				from, to := random.Intn(len(books)), random.Intn(len(books))
 				words, _ := books[from].Since(0, quarantine.PartAll)
-				books[to].Take(words, random.Intn(2) == 0)
+				books[to].Merge(words, random.Intn(2) == 0)
 			}
 		}
 		for range 2 {
 			for from := range books {
 				words, _ := books[from].Since(0, quarantine.PartAll)
 				for to := range books {
-					books[to].Take(words, true)
+					books[to].Merge(words, true)
 				}
 			}
 		}
@@ -140,16 +140,16 @@
 	c := &clock{time.Unix(1e9, 0)}
 	one, two := newBook(c), newBook(c)
 	for i := range 3 {
-		one.Accuse(keyOf("/1"), strconv.Itoa(i))
+		one.RecordEnded(keyOf("/1"), strconv.Itoa(i))
 	}
-	before, _ := one.Held(keyOf("/1"))
+	before, _ := one.HeldBack(keyOf("/1"))
 	words, _ := one.Since(0, quarantine.PartNoted)
 	c.at = c.at.Add(time.Second)
-	require.True(t, two.Take(words, false))
+	require.True(t, two.Merge(words, false))
 	back, _ := two.Since(0, quarantine.PartAll)
 	c.at = c.at.Add(time.Second)
-	require.False(t, one.Take(back, true))
-	after, _ := one.Held(keyOf("/1"))
+	require.False(t, one.Merge(back, true))
+	after, _ := one.HeldBack(keyOf("/1"))
 	require.Equal(t, before-2*time.Second, after)
 }
 
@@ -159,17 +159,17 @@
 	c := &clock{time.Unix(1e9, 0)}
 	b := newBook(c)
 	for i := range 300 {
-		b.Accuse(keyOf(strconv.Itoa(i)), "a")
+		b.RecordEnded(keyOf(strconv.Itoa(i)), "a")
 	}
 	for _, s := range []string{"b", "c"} {
-		b.Accuse(keyOf("7"), s)
+		b.RecordEnded(keyOf("7"), s)
 	}
 	other := newBook(c)
 	for i := range 3 {
-		other.Accuse(keyOf("leader's"), strconv.Itoa(i))
+		other.RecordEnded(keyOf("leader's"), strconv.Itoa(i))
 	}
 	words, _ := other.Since(0, quarantine.PartAll)
-	require.True(t, b.Take(words, true))
+	require.True(t, b.Merge(words, true))
 
 	total := 0
 	at := uint64(0)
@@ -195,7 +195,7 @@
 func TestMalformedKeyIsPassedOver(t *testing.T) {
 	b := newBook(&clock{time.Unix(1e9, 0)})
 	word := &schema.Suspect{Key: []byte{1, 2}, Ended: []*schema.EndedServer{{Server: "a"}}}
-	require.False(t, b.Take([]*schema.Suspect{proto.Clone(word).(*schema.Suspect)}, true))
+	require.False(t, b.Merge([]*schema.Suspect{proto.Clone(word).(*schema.Suspect)}, true))
 	require.True(t, b.Empty())
 }
 
@@ -205,11 +205,11 @@
 	c := &clock{time.Unix(1e9, 0)}
 	b := newBook(c)
 	for i := range 3 {
-		b.Accuse(keyOf("harmful"), strconv.Itoa(i))
+		b.RecordEnded(keyOf("harmful"), strconv.Itoa(i))
 	}
 	for i := range 20_000 {
 		c.at = c.at.Add(time.Millisecond)
-		b.Accuse(keyOf(fmt.Sprint("flood ", i)), "a")
+		b.RecordEnded(keyOf(fmt.Sprint("flood ", i)), "a")
 	}
 	require.True(t, held(b, keyOf("harmful")))
 	size := 0
--- a/internal/quarantine/reader.go
+++ b/internal/quarantine/reader.go
@@ -18,7 +18,7 @@
 // Reader reads a part of a book for one other host, each change once. It belongs to one
 // goroutine.
 type Reader struct {
-	book *Book
+	book *SuspectSet
 	part Part
 	// at is the change up to which the other host has been told.
 	at uint64
@@ -28,7 +28,7 @@
 }
 
 // Reader returns one that begins with all that is known.
-func (b *Book) Reader(part Part) *Reader {
+func (b *SuspectSet) Reader(part Part) *Reader {
 	return &Reader{book: b, part: part, allowed: tellMost, asked: b.cfg.Now()}
 }
 
--- a/internal/quarantine/reader_test.go
+++ b/internal/quarantine/reader_test.go
@@ -30,7 +30,7 @@
 	}
 	for i := range 1000 * seconds {
 		for server := range 3 {
-			b.Accuse(keyOf(fmt.Sprint("flood ", i)), fmt.Sprint("i-0123456789-", server))
+			b.RecordEnded(keyOf(fmt.Sprint("flood ", i)), fmt.Sprint("i-0123456789-", server))
 		}
 		c.at = c.at.Add(time.Millisecond)
 		if i%100 == 99 {
@@ -54,7 +54,7 @@
 	b := newBook(c)
 	require.Empty(t, b.Reader(quarantine.PartAll).Next())
 	for i := range 3 {
-		b.Accuse(keyOf("/1"), strconv.Itoa(i))
+		b.RecordEnded(keyOf("/1"), strconv.Itoa(i))
 	}
 	for range 2 {
 		r := b.Reader(quarantine.PartAll)
@@ -68,13 +68,13 @@
 	for _, suspects := range []int{0, 1000} {
 		book := newBook(&clock{time.Unix(1e9, 0)})
 		for i := range suspects {
-			book.Accuse(quarantine.Request{Target: fmt.Sprint("/", i)}.Key(), "a")
+			book.RecordEnded(quarantine.Request{Target: fmt.Sprint("/", i)}.Key(), "a")
 		}
 		q := quarantine.Request{Method: "POST", Host: "h.example", Target: "/chat/completions", Body: make([]byte, 1<<10)}
 		b.Run(strconv.Itoa(suspects), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if !book.Empty() && book.Suspects(q.Hint()) {
+				if !book.Empty() && book.MayContain(q.Hint()) {
 					b.Fatal("another request has its hint")
 				}
 			}
--- a/internal/quarantine/series_test.go
+++ b/internal/quarantine/series_test.go
@@ -24,7 +24,7 @@
 type crashes struct {
 	random *rand.Rand
 	clock  *clock
-	book   *quarantine.Book
+	book   *quarantine.SuspectSet
 	// servers holds what runs at each in the order of its arrival, and starts counts its
 	// incarnations.
 	servers [][]*ordinary
@@ -65,13 +65,13 @@
 	id := strconv.Itoa(server) + "@" + strconv.Itoa(c.starts[server])
 	c.starts[server]++
 	if harmful != nil {
-		c.book.Accuse(*harmful, id)
+		c.book.RecordEnded(*harmful, id)
 		c.harmfulEnded++
 	}
 	broken := c.servers[server]
 	c.servers[server] = nil
 	for _, q := range broken {
-		c.book.Accuse(q.key, id)
+		c.book.RecordEnded(q.key, id)
 	}
 	for _, q := range broken {
 		if q.runs <= repeatsMost {
--- a/internal/quarantine/trial_test.go
+++ b/internal/quarantine/trial_test.go
@@ -32,10 +32,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		var guards []*quarantine.Guard
 		tell := func(from *quarantine.Guard) {
-			list, _ := from.Book().Since(0, quarantine.PartAll)
+			list, _ := from.Suspects().Since(0, quarantine.PartAll)
 			time.AfterFunc(word, func() {
 				for _, g := range guards {
-					g.Book().Take(list, true)
+					g.Suspects().Merge(list, true)
 				}
 			})
 		}
@@ -43,26 +43,26 @@
 			var g *quarantine.Guard
 			g = quarantine.NewGuard(quarantine.GuardConfig{
 				Entry:    fmt.Sprint("entry-", i),
-				Presence: func(context.Context, string) relay.Presence { return relay.PresenceRefused },
-				Changed:  func() { tell(g) }, Log: logr.Discard(),
+				Probe:    func(context.Context, string) relay.Presence { return relay.PresenceRefused },
+				OnChange: func() { tell(g) }, Log: logr.Discard(),
 			})
 			defer g.Close()
 			guards = append(guards, g)
 		}
 		request := quarantine.Request{Method: "POST", Target: "/once", Body: []byte("harmful")}
 		for _, g := range guards {
-			g.Book().Take(threeEnded(request), true)
+			g.Suspects().Merge(threeEnded(request), true)
 		}
 		ended := 0
 		for began := time.Now(); time.Since(began) < lasts; time.Sleep(every) {
 			for _, g := range guards {
-				s := quarantine.NewSubject(request)
+				s := quarantine.NewKeyedRequest(request)
 				if _, held := g.HeldBack(s); held {
 					continue
 				}
 				ended++
 				server := fmt.Sprint("server-", ended)
-				time.AfterFunc(runs, func() { g.BrokeOff(s, server, server) })
+				time.AfterFunc(runs, func() { g.AttemptFailed(s, server, server) })
 			}
 		}
 		// Five minutes doubled each time, or half as long again, are over two or three times.
@@ -87,13 +87,13 @@
 func TestTryThatEndsNoServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := quarantine.NewGuard(quarantine.GuardConfig{
-			Entry: "entry", Presence: func(context.Context, string) relay.Presence { return relay.PresenceRefused },
-			Changed: func() {}, Log: logr.Discard(),
+			Entry: "entry", Probe: func(context.Context, string) relay.Presence { return relay.PresenceRefused },
+			OnChange: func() {}, Log: logr.Discard(),
 		})
 		defer g.Close()
 		request := quarantine.Request{Target: "/once"}
-		g.Book().Take(threeEnded(request), true)
-		one, two := quarantine.NewSubject(request), quarantine.NewSubject(request)
+		g.Suspects().Merge(threeEnded(request), true)
+		one, two := quarantine.NewKeyedRequest(request), quarantine.NewKeyedRequest(request)
 		left, held := g.HeldBack(one)
 		require.True(t, held)
 		require.GreaterOrEqual(t, left, 5*time.Minute)
@@ -113,7 +113,7 @@
 		require.False(t, held, "the first came to no end")
 		_, held = g.HeldBack(one)
 		require.True(t, held)
-		g.RanWhole(two)
+		g.AttemptCompleted(two)
 		_, held = g.HeldBack(one)
 		require.False(t, held)
 	})
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -18,10 +18,10 @@
 const (
 	// DefaultWindow is the window over which quotas are counted where none is set.
 	DefaultWindow = 8 * time.Second
-	// DemandPart is the part of the window over which demand is measured and the rest of
+	// DemandWindowDivisor is the part of the window over which demand is measured and the rest of
 	// the quota is spent. It is some times the delay of the sums, or the admitted rate
 	// would oscillate.
-	DemandPart = 4
+	DemandWindowDivisor = 4
 	// steadyPart of the rate is admitted however much of the quota is used: what leaves the
 	// window can be spent again, but when it leaves is not known from a sum.
 	steadyPart = 0.3
@@ -161,11 +161,11 @@
 // share admits the part of all requests that the rest of the budget allows; mu is held.
 func (m *Meter) share(u *use, q *schema.Quota, budget float64) (time.Duration, bool) {
 	admitted := u.total.GetAdmitted()
-	requested := max(u.total.GetRequested(), u.total.GetRequestedLately()*latePart/DemandPart)
+	requested := max(u.total.GetRequested(), u.total.GetRequestedLately()*latePart/DemandWindowDivisor)
 	if requested == 0 {
 		return 0, true
 	}
-	spend := m.cfg.Window / DemandPart
+	spend := m.cfg.Window / DemandWindowDivisor
 	allowed := budget - admitted + steadyPart*q.GetRatePerSecond()*spend.Seconds()
 	if allowed >= requested || m.cfg.Random() < allowed/requested {
 		return 0, true
@@ -180,13 +180,13 @@
 	if admitted == 0 || admitted+cost <= part {
 		return 0, true
 	}
-	return m.cfg.Window / DemandPart, false
+	return m.cfg.Window / DemandWindowDivisor, false
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Return gives a request back that was admitted and did not run.
-func (m *Meter) Return(team string, cost float64, now time.Time) {
+// Refund gives a request back that was admitted and did not run.
+func (m *Meter) Refund(team string, cost float64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if u := m.uses[team]; u != nil {
@@ -207,15 +207,15 @@
 		}
 		out.Uses = append(out.Uses, &schema.TeamUse{
 			Team:     team,
-			Admitted: max(admitted, 0), Requested: u.requested.sum(slot, slots/DemandPart), RequestedLately: u.requested.sum(slot, slots/latePart),
+			Admitted: max(admitted, 0), Requested: u.requested.sum(slot, slots/DemandWindowDivisor), RequestedLately: u.requested.sum(slot, slots/latePart),
 		})
 	}
 	return out
 }
 
-// Learn takes in the sums over all entries. Teams that are not named use little of their
+// SetTotals takes in the sums over all entries. Teams that are not named use little of their
 // quotas.
-func (m *Meter) Learn(uses *schema.TeamUses) {
+func (m *Meter) SetTotals(uses *schema.TeamUses) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, u := range m.uses {
@@ -282,7 +282,7 @@
 // add adds a report of some age to the sums; mu is held.
 func (t *Totals) add(sums map[string]*schema.TeamUse, uses *schema.TeamUses, age time.Duration) {
 	left := 1 - float64(age)/float64(t.window)
-	recent := max(1-float64(age)/(float64(t.window)/DemandPart), 0)
+	recent := max(1-float64(age)/(float64(t.window)/DemandWindowDivisor), 0)
 	for _, u := range uses.GetUses() {
 		sum := sums[u.GetTeam()]
 		if sum == nil {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -96,7 +96,7 @@
 			continue
 		}
 		f.totals.Report(fmt.Sprint(i), e.Report(f.now), f.now)
-		e.Learn(f.sums)
+		e.SetTotals(f.sums)
 	}
 	f.sums = f.totals.Sum(f.now, nil)
 }
@@ -186,7 +186,7 @@
 	for range 100 {
 		_, ok := m.Admit(team, 1, false, 1, start)
 		require.True(t, ok)
-		m.Return("t", 1, start)
+		m.Refund("t", 1, start)
 	}
 	for range 8 {
 		_, ok := m.Admit(team, 1, false, 1, start)
@@ -218,7 +218,7 @@
 func BenchmarkQuota(b *testing.B) {
 	team := &schema.Team{Name: "t", Quota: &schema.Quota{Tokens: true, RatePerSecond: 1e15, Burst: 1e15}}
 	m := quota.NewMeter(quota.MeterConfig{Window: window, Random: rand.Float64}, start)
-	m.Learn(&schema.TeamUses{Uses: []*schema.TeamUse{{Team: "t", Admitted: 1, Requested: 1}}})
+	m.SetTotals(&schema.TeamUses{Uses: []*schema.TeamUse{{Team: "t", Admitted: 1, Requested: 1}}})
 	b.ReportAllocs()
 	for b.Loop() {
 		m.Admit(team, 1000, true, 76, start)
--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -72,8 +72,8 @@
 	return &c
 }
 
-// After returns a copy that tells when to come back. Zero or less says nothing.
-func (r *Refusal) After(d time.Duration) *Refusal {
+// WithRetryAfter returns a copy that tells when to come back. Zero or less says nothing.
+func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	c := *r
 	c.retryAfter = d
 	return &c
@@ -96,8 +96,8 @@
 	return fmt.Sprintf("%s (%s): %s", r.code, r.outcome, r.message)
 }
 
-// Reply returns the refusal of a request as callers and operators get it.
-func (r *Refusal) Reply(id string) *schema.ErrorReply {
+// ErrorReply returns the refusal of a request as callers and operators get it.
+func (r *Refusal) ErrorReply(id string) *schema.ErrorReply {
 	return &schema.ErrorReply{Error: &schema.ErrorBody{
 		Code: r.code.String(), Message: r.message, Outcome: r.outcome.String(),
 		RetryAfterMs: uint32(r.RetryAfter().Milliseconds()), RequestId: id,
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -15,8 +15,8 @@
 // ErrPartialEvent says that a stream ended inside an event.
 var ErrPartialEvent = errors.New("the stream ended inside an event")
 
-// Events splits a stream into events, with the blank line that ends each.
-type Events struct {
+// EventReader splits a stream into events, with the blank line that ends each.
+type EventReader struct {
 	in  io.Reader
 	buf []byte
 	// from and to bound what is read and not returned yet in buf.
@@ -24,13 +24,13 @@
 	err      error
 }
 
-// NewEvents returns the events of a body.
-func NewEvents(in io.Reader) *Events { return &Events{in: in, buf: make([]byte, 4<<10)} }
+// NewEventReader returns the events of a body.
+func NewEventReader(in io.Reader) *EventReader { return &EventReader{in: in, buf: make([]byte, 4<<10)} }
 
 // Next returns all complete events that are there, at least one, waiting for it
 // if none is. The bytes are valid until the next call. At a regular end it
 // returns io.EOF, inside an event ErrPartialEvent.
-func (e *Events) Next() ([]byte, error) {
+func (e *EventReader) Next() ([]byte, error) {
 	for {
 		if i := lastEnd(e.buf[e.from:e.to]); i > 0 {
 			out := e.buf[e.from : e.from+i]
@@ -49,7 +49,7 @@
 	}
 }
 
-func (e *Events) fill() error {
+func (e *EventReader) fill() error {
 	if e.from > 0 {
 		copy(e.buf, e.buf[e.from:e.to])
 		e.to -= e.from
@@ -57,7 +57,7 @@
 	}
 	if e.to == len(e.buf) {
 		if len(e.buf) >= maxEvent {
-			return errors.Newf("an event of over %d bytes: %w", maxEvent, ErrBroken)
+			return errors.Newf("an event of over %d bytes: %w", maxEvent, ErrInterrupted)
 		}
 		e.buf = append(e.buf, make([]byte, len(e.buf))...)
 	}
@@ -79,9 +79,9 @@
 	return end
 }
 
-// IDs returns the first and the last id among complete events; ok is false
+// EventIDs returns the first and the last id among complete events; ok is false
 // where an event has no id that is a number.
-func IDs(events []byte) (first, last int64, ok bool) {
+func EventIDs(events []byte) (first, last int64, ok bool) {
 	first = -1
 	for _, line := range bytes.Split(events, []byte("\n")) {
 		value, found := bytes.CutPrefix(line, []byte("id:"))
--- a/internal/relay/events_test.go
+++ b/internal/relay/events_test.go
@@ -13,7 +13,7 @@
 )
 
 func collect(in io.Reader) (string, error) {
-	events := relay.NewEvents(in)
+	events := relay.NewEventReader(in)
 	var out bytes.Buffer
 	for {
 		b, err := events.Next()
@@ -46,12 +46,12 @@
 }
 
 func TestIDs(t *testing.T) {
-	first, last, ok := relay.IDs([]byte("id: 3\ndata: x\n\nid:4\n\n"))
+	first, last, ok := relay.EventIDs([]byte("id: 3\ndata: x\n\nid:4\n\n"))
 	require.True(t, ok)
 	require.Equal(t, []int64{3, 4}, []int64{first, last})
-	_, _, ok = relay.IDs([]byte("data: x\n\n"))
+	_, _, ok = relay.EventIDs([]byte("data: x\n\n"))
 	require.False(t, ok)
-	_, _, ok = relay.IDs([]byte("id: x\n\n"))
+	_, _, ok = relay.EventIDs([]byte("id: x\n\n"))
 	require.False(t, ok)
 }
 
--- a/internal/relay/presence.go
+++ b/internal/relay/presence.go
@@ -24,8 +24,8 @@
 	PresenceListening // listening
 )
 
-// Presence tries an address without sending anything.
-func (s *Sender) Presence(ctx context.Context, address string) Presence {
+// Probe tries an address without sending anything.
+func (s *Sender) Probe(ctx context.Context, address string) Presence {
 	conn, err := s.dial(ctx, address)
 	switch {
 	case err == nil:
--- a/internal/relay/presence_test.go
+++ b/internal/relay/presence_test.go
@@ -16,13 +16,13 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	sender := relay.NewSender(relay.Config{})
-	require.Equal(t, relay.PresenceListening, sender.Presence(context.Background(), l.Addr().String()))
+	require.Equal(t, relay.PresenceListening, sender.Probe(context.Background(), l.Addr().String()))
 	require.NoError(t, l.Close())
-	require.Equal(t, relay.PresenceRefused, sender.Presence(context.Background(), l.Addr().String()))
+	require.Equal(t, relay.PresenceRefused, sender.Probe(context.Background(), l.Addr().String()))
 
 	hangs := relay.NewSender(relay.Config{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}})
-	require.Equal(t, relay.PresenceSilent, hangs.Presence(context.Background(), l.Addr().String()))
+	require.Equal(t, relay.PresenceSilent, hangs.Probe(context.Background(), l.Addr().String()))
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -21,11 +21,11 @@
 var (
 	// ErrNotSent says that no byte of the request has left: it did not run.
 	ErrNotSent = errors.New("the request was not sent")
-	// ErrBroken says that the exchange broke off after a byte may have left: the
+	// ErrInterrupted says that the exchange broke off after a byte may have left: the
 	// request may have run.
-	ErrBroken = errors.New("the exchange broke off")
-	// ErrForeign says that the bytes received are no answer to this request.
-	ErrForeign = errors.New("the answer belongs to another request")
+	ErrInterrupted = errors.New("the exchange broke off")
+	// ErrMismatchedResponse says that the bytes received are no answer to this request.
+	ErrMismatchedResponse = errors.New("the answer belongs to another request")
 )
 
 const (
@@ -60,14 +60,14 @@
 	// Header must hold no field that concerns one connection only.
 	Header http.Header
 	Body   []byte
-	// Own reports whether an answer's header belongs to this request.
-	Own func(http.Header) bool
+	// MatchesResponse reports whether an answer's header belongs to this request.
+	MatchesResponse func(http.Header) bool
 }
 
 // Config configures a Sender. The zero value is ready for use.
 type Config struct {
-	// Dialed, where set, is told of each connection that was tried.
-	Dialed func(took time.Duration, err error)
+	// OnDial, where set, is told of each connection that was tried.
+	OnDial func(took time.Duration, err error)
 	// Dial connects to an address; nil: over TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
@@ -100,8 +100,8 @@
 	defer cancel()
 	began := time.Now()
 	conn, err := s.cfg.Dial(ctx, address)
-	if s.cfg.Dialed != nil {
-		s.cfg.Dialed(time.Since(began), err)
+	if s.cfg.OnDial != nil {
+		s.cfg.OnDial(time.Since(began), err)
 	}
 	return conn, err
 }
@@ -117,8 +117,8 @@
 	return inner
 }
 
-// Answer is a server's answer whose header is in. Close must be called.
-type Answer struct {
+// Response is a server's answer whose header is in. Close must be called.
+type Response struct {
 	Status int
 	Header http.Header
 	// Body fails with ErrBroken when the answer ends early.
@@ -128,7 +128,7 @@
 
 // Close ends the connection, and with it the server's work on the request if it
 // is not at an end.
-func (a *Answer) Close() { a.close() }
+func (a *Response) Close() { a.close() }
 
 // Reset closes a connection and drops what it has not delivered. After a plain
 // close the kernel goes on sending what a partition holds up: a request that was
@@ -143,7 +143,7 @@
 
 // Send sends a request and waits for the answer's header. The context's end
 // closes the connection at once, also while the body is read.
-func (s *Sender) Send(ctx context.Context, address string, q *Request) (*Answer, error) {
+func (s *Sender) Send(ctx context.Context, address string, q *Request) (*Response, error) {
 	conn, err := s.dial(ctx, address)
 	if err != nil {
 		return nil, errors.Newf("connect to %s: %v: %w", address, err, ErrNotSent)
@@ -166,12 +166,12 @@
 	return answer, nil
 }
 
-func exchange(conn net.Conn, q *Request) (*Answer, *wholeReader, error) {
+func exchange(conn net.Conn, q *Request) (*Response, *wholeReader, error) {
 	if n, err := conn.Write(q.encode()); err != nil {
 		if n == 0 {
 			return nil, nil, errors.Newf("write request: %v: %w", err, ErrNotSent)
 		}
-		return nil, nil, errors.Newf("write request: %v: %w", err, ErrBroken)
+		return nil, nil, errors.Newf("write request: %v: %w", err, ErrInterrupted)
 	}
 	in := bufio.NewReaderSize(conn, readBuffer)
 	for range foreignLimit {
@@ -179,15 +179,15 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		if q.Own(r.Header) {
+		if q.MatchesResponse(r.Header) {
 			body := &wholeReader{r: r.Body}
-			return &Answer{Status: r.StatusCode, Header: r.Header, Body: body}, body, nil
+			return &Response{Status: r.StatusCode, Header: r.Header, Body: body}, body, nil
 		}
 		if _, err = io.Copy(io.Discard, r.Body); err != nil {
-			return nil, nil, errors.Newf("pass over another answer: %v: %w", err, ErrBroken)
+			return nil, nil, errors.Newf("pass over another answer: %v: %w", err, ErrInterrupted)
 		}
 	}
-	return nil, nil, ErrForeign
+	return nil, nil, ErrMismatchedResponse
 }
 
 // readAnswer reads the next final answer; interim ones are passed over.
@@ -195,7 +195,7 @@
 	for {
 		r, err := http.ReadResponse(in, &http.Request{Method: method})
 		if err != nil {
-			return nil, errors.Newf("read answer: %v: %w", err, ErrBroken)
+			return nil, errors.Newf("read answer: %v: %w", err, ErrInterrupted)
 		}
 		if r.StatusCode >= http.StatusOK {
 			return r, nil
@@ -229,7 +229,7 @@
 	n, err := w.r.Read(p)
 	w.ended = w.ended || errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF)
 	if err != nil && !errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return n, errors.Newf("read body: %v: %w", err, ErrBroken)
+		return n, errors.Newf("read body: %v: %w", err, ErrInterrupted)
 	}
 	return n, err
 }
@@ -240,9 +240,9 @@
 	"Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// PassedOn returns a copy of a header without the fields that concern one
+// EndToEndHeader returns a copy of a header without the fields that concern one
 // connection only, those that Connection names among them.
-func PassedOn(h http.Header) http.Header {
+func EndToEndHeader(h http.Header) http.Header {
 	out := h.Clone()
 	for _, v := range h["Connection"] {
 		for _, name := range strings.Split(v, ",") {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -37,9 +37,9 @@
 	return l.Addr().String(), ended
 }
 
-func send(ctx context.Context, address string) (*relay.Answer, error) {
+func send(ctx context.Context, address string) (*relay.Response, error) {
 	return relay.NewSender(relay.Config{}).Send(ctx, address, &relay.Request{
-		Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}, Own: func(http.Header) bool { return true },
+		Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}, MatchesResponse: func(http.Header) bool { return true },
 	})
 }
 
--- a/internal/replay/arrivals.go
+++ b/internal/replay/arrivals.go
@@ -45,8 +45,8 @@
 	Arrivals  []Arrival
 	Outages   []Outage
 	Slowdowns []Slowdown
-	Speeds    placement.Speeds
-	Weights   placement.Weights
+	Speeds    placement.LoadSpeeds
+	Weights   placement.Prices
 }
 
 // Deployment is a customer whose weeks can be generated.
@@ -57,7 +57,7 @@
 	servers  int
 	centres  []string
 	loads    float64
-	weights  placement.Weights
+	weights  placement.Prices
 	// shares of the kinds of use; they add up to 1 with the rare ones.
 	office, daily, weekend float64
 	// quiet is the share of sessions that a quiet season leaves out.
@@ -68,12 +68,12 @@
 var (
 	QuillenRidge = Deployment{
 		name: "quillen-ridge", models: 55, adapters: 115, servers: 20, centres: []string{"hall-a", "hall-b", "hall-c"},
-		loads: 3, weights: placement.Weights{ColdSecond: 3, IdleHour: 20, PerReplica: 16},
+		loads: 3, weights: placement.Prices{ColdStartSecond: 3, IdleAcceleratorHour: 20, WaitingPerReplica: 16},
 		office: 0.45, daily: 0.25, weekend: 0.05, quiet: 0.2,
 	}
 	Kapiti = Deployment{
 		name: "kapiti", models: 45, adapters: 100, servers: 20, centres: []string{"porirua", "paraparaumu", "otaki"},
-		loads: 4, weights: placement.Weights{ColdSecond: 1, IdleHour: 60, PerReplica: 16},
+		loads: 4, weights: placement.Prices{ColdStartSecond: 1, IdleAcceleratorHour: 60, WaitingPerReplica: 16},
 		office: 0.25, daily: 0.15, weekend: 0.35, quiet: 0.6,
 	}
 )
@@ -82,7 +82,7 @@
 func (d Deployment) Name() string { return d.name }
 
 // Weights returns the prices of the deployment's settings.
-func (d Deployment) Weights() placement.Weights { return d.weights }
+func (d Deployment) Weights() placement.Prices { return d.weights }
 
 const (
 	acceleratorMiB = 81920
@@ -99,8 +99,8 @@
 	random := rand.New(rand.NewSource(seed))
 	s := Scenario{
 		Name: d.name, Length: time.Duration(days) * day, Weights: d.weights,
-		Speeds: placement.Speeds{
-			RemoteMiB: 1024, DiskMiB: 4096, MemoryMiB: 16384, LoadsPerSecond: d.loads, FullSpeed: 4,
+		Speeds: placement.LoadSpeeds{
+			RemoteMiBPerSecond: 1024, DiskMiBPerSecond: 4096, MemoryMiBPerSecond: 16384, LoadsPerSecond: d.loads, FullSpeedLoads: 4,
 		},
 	}
 	sizes := []uint64{8192, 16384, 16384, 24576, 40960}
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -17,7 +17,7 @@
 	// keep returns the keep time; nil: the policy in use.
 	keep func(s *sim, r placement.Replica) time.Duration
 	// weights returns the prices for the policy in use.
-	weights func(w placement.Weights) placement.Weights
+	weights func(w placement.Prices) placement.Prices
 }
 
 // Name returns the policy's name.
@@ -26,8 +26,8 @@
 // Ours is the policy in use, with the price of an idle hour multiplied; 1 is the
 // deployment's own weight.
 func Ours(name string, idlePrice float64) Policy {
-	return Policy{name: name, weights: func(w placement.Weights) placement.Weights {
-		w.IdleHour *= idlePrice
+	return Policy{name: name, weights: func(w placement.Prices) placement.Prices {
+		w.IdleAcceleratorHour *= idlePrice
 		return w
 	}}
 }
@@ -45,8 +45,8 @@
 		next, ok := s.nextUse(r.Target)
 		gap := next.Sub(s.lastUse(r.Target))
 		share := float64(m.MemoryMiB) / acceleratorMiB
-		cold := placement.LoadTime(s.in.Speeds, placement.TierDisk, m.MemoryMiB, 0).Seconds() * s.in.Weights.ColdSecond
-		if !ok || gap.Hours()*share*s.in.Weights.IdleHour > cold {
+		cold := placement.LoadTime(s.in.Speeds, placement.TierDisk, m.MemoryMiB, 0).Seconds() * s.in.Weights.ColdStartSecond
+		if !ok || gap.Hours()*share*s.in.Weights.IdleAcceleratorHour > cold {
 			return 0
 		}
 		return forever
--- a/internal/replay/sim.go
+++ b/internal/replay/sim.go
@@ -131,8 +131,8 @@
 	servers  []placement.Server
 	replicas []placement.Replica
 	uses     map[string]*use
-	patterns map[string]*placement.Pattern
-	learner  *placement.Learner
+	patterns map[string]*placement.ArrivalPattern
+	learner  *placement.SpeedEstimator
 	finishes finishes
 	began    map[uint64]time.Time
 	// lookedAhead is when loads ahead were last considered.
@@ -146,8 +146,8 @@
 func Run(in Scenario, seed int64, p Policy) Result {
 	s := &sim{
 		policy: p, in: in, start: time.Unix(1_790_000_000, 0).UTC().Truncate(day), models: map[string]placement.Model{},
-		uses: map[string]*use{}, patterns: map[string]*placement.Pattern{}, began: map[uint64]time.Time{},
-		learner: placement.NewLearner(in.Speeds), random: rand.New(rand.NewSource(seed)),
+		uses: map[string]*use{}, patterns: map[string]*placement.ArrivalPattern{}, began: map[uint64]time.Time{},
+		learner: placement.NewSpeedEstimator(in.Speeds), random: rand.New(rand.NewSource(seed)),
 		result: Result{
 			policy: p.name, scenario: in.Name, seed: seed,
 			visits: hdrhistogram.New(1, maxWaitMs, 3), forecastError: hdrhistogram.New(1, maxWaitMs, 3),
@@ -157,7 +157,7 @@
 	for _, m := range in.Models {
 		s.models[m.Name] = m
 		s.uses[m.Name] = &use{}
-		s.patterns[m.Name] = placement.NewPattern(s.start)
+		s.patterns[m.Name] = placement.NewArrivalPattern(s.start)
 	}
 	for _, x := range in.Servers {
 		copied := x
@@ -273,10 +273,10 @@
 		s.result.requests++
 	}
 	visit := u.last.IsZero() || s.now.Sub(u.last) > visitGap
-	s.patterns[target].Arrive(s.now)
+	s.patterns[target].RecordArrival(s.now)
 	// A request for an adapter needs its base as well.
 	if base := s.models[target].Base; base != "" {
-		s.patterns[base].Arrive(s.now)
+		s.patterns[base].RecordArrival(s.now)
 		s.uses[base].last = s.now
 	}
 	u.last = s.now
@@ -320,24 +320,24 @@
 			m, ok := s.models[name]
 			return m, ok
 		},
-		Pattern: func(name string) *placement.Pattern { return s.patterns[name] },
-		Speeds:  s.learner.Speeds(), Weights: s.in.Weights, Settled: settled,
+		Pattern: func(name string) *placement.ArrivalPattern { return s.patterns[name] },
+		Speeds:  s.learner.Speeds(), Prices: s.in.Weights, SkipIdle: settled,
 	}
 	if s.policy.weights != nil {
-		in.Weights = s.policy.weights(in.Weights)
+		in.Prices = s.policy.weights(in.Prices)
 	}
 	if s.policy.keep != nil {
-		in.Keep = func(r placement.Replica) time.Duration { return s.policy.keep(s, r) }
+		in.IdleTimeout = func(r placement.Replica) time.Duration { return s.policy.keep(s, r) }
 	}
 	if s.policy.keep == nil && s.now.Sub(s.lookedAhead) >= aheadEvery {
 		s.lookedAhead = s.now
 		for _, m := range s.in.Models {
-			in.Ahead = append(in.Ahead, m.Name)
+			in.PreloadCandidates = append(in.PreloadCandidates, m.Name)
 		}
 	}
 	for _, r := range s.replicas {
 		u := s.uses[r.Target]
-		r.Used = later(later(u.last, u.busy), r.Since)
+		r.LastUsed = later(later(u.last, u.busy), r.Since)
 		if u.busy.After(s.now) {
 			r.Running = 1
 		}
@@ -345,7 +345,7 @@
 	}
 	for t, u := range s.uses {
 		if len(u.waiting) > 0 {
-			in.Demands[t] = placement.Demand{Waiting: len(u.waiting), First: u.waiting[0].since.Add(patience)}
+			in.Demands[t] = placement.Demand{Waiting: len(u.waiting), EarliestDeadline: u.waiting[0].since.Add(patience)}
 		}
 	}
 	plan := placement.Decide(in)
@@ -375,7 +375,7 @@
 		u := s.uses[t]
 		for i := range u.waiting {
 			if w := &u.waiting[i]; w.forecast < 0 && f.Possible {
-				w.forecast = max(f.Ready.Sub(w.since), 0)
+				w.forecast = max(f.ReadyAt.Sub(w.since), 0)
 			}
 		}
 	}
@@ -395,7 +395,7 @@
 	m := s.models[d.Target]
 	s.replicas = append(s.replicas, placement.Replica{
 		Number: s.number, Target: d.Target, Version: m.Version, Server: d.Server, Accelerator: d.Accelerator,
-		MemoryMiB: m.MemoryMiB, State: placement.StateLoading, Ready: d.Ready, Since: s.now,
+		MemoryMiB: m.MemoryMiB, State: placement.StateLoading, ReadyAt: d.ReadyAt, Since: s.now,
 	})
 	s.began[s.number] = s.now
 	if !s.learning() {
@@ -425,7 +425,7 @@
 		remote--
 		for _, x := range s.in.Slowdowns {
 			if at := s.now.Sub(s.start); at >= x.From && at < x.To {
-				speeds.RemoteMiB /= x.By
+				speeds.RemoteMiBPerSecond /= x.By
 			}
 		}
 	}
@@ -453,7 +453,7 @@
 		return
 	}
 	x := s.server(r.Server)
-	s.learner.Learn(x.Cached[r.Target], r.MemoryMiB, s.now.Sub(s.began[number]))
+	s.learner.Observe(x.Cached[r.Target], r.MemoryMiB, s.now.Sub(s.began[number]))
 	delete(s.began, number)
 	s.cache(x, r.Target)
 	r.State = placement.StateLoaded
--- a/internal/role/announce_test.go
+++ b/internal/role/announce_test.go
@@ -37,7 +37,7 @@
 		s.await(2*time.Second, "another", func() bool { return s.put(2) != "" })
 		for range 120 {
 			time.Sleep(50 * time.Millisecond)
-			var elsewhere *role.ElsewhereError
+			var elsewhere *role.NotLeaderError
 			require.False(t, errors.As(announce(), &elsewhere), "sent to the leader")
 		}
 	})
@@ -67,6 +67,6 @@
 			}
 		}
 		time.Sleep(4 * time.Second)
-		require.ErrorIs(t, announce(), role.ErrUnsure)
+		require.ErrorIs(t, announce(), role.ErrUnavailable)
 	})
 }
--- a/internal/role/api.go
+++ b/internal/role/api.go
@@ -10,9 +10,9 @@
 
 	"github.com/cockroachdb/errors"
 
+	"fennelyard/internal/asynclog"
 	"fennelyard/internal/incarnation"
 	"fennelyard/internal/ledger"
-	"fennelyard/internal/logbook"
 	"fennelyard/internal/roster"
 	"fennelyard/internal/schema"
 	"fennelyard/internal/team"
@@ -33,38 +33,38 @@
 )
 
 var (
-	// ErrUnsure says that the group cannot answer now, or that the outcome of a
+	// ErrUnavailable says that the group cannot answer now, or that the outcome of a
 	// change is not known: the caller should ask again, at any control host.
-	ErrUnsure = errors.New("the control group gives no answer now")
-	// ErrNothing says that there is no configuration yet.
-	ErrNothing = errors.New("there is no configuration yet")
-	// ErrNoPool says that the configuration in force does not know a server's pool.
-	ErrNoPool = errors.New("the configuration knows no such pool")
-	// ErrNoStart says that a word does not tell which start of a server it is of, while
+	ErrUnavailable = errors.New("the control group gives no answer now")
+	// ErrNoConfiguration says that there is no configuration yet.
+	ErrNoConfiguration = errors.New("there is no configuration yet")
+	// ErrUnknownPool says that the configuration in force does not know a server's pool.
+	ErrUnknownPool = errors.New("the configuration knows no such pool")
+	// ErrNoIncarnation says that a word does not tell which start of a server it is of, while
 	// the server does.
-	ErrNoStart = errors.New("the server's start is not told")
+	ErrNoIncarnation = errors.New("the server's start is not told")
 )
 
-// ElsewhereError says that another host leads.
-type ElsewhereError struct {
-	// IP is the leader's.
-	IP string
+// NotLeaderError says that another host leads.
+type NotLeaderError struct {
+	// LeaderIP is the leader's.
+	LeaderIP string
 }
 
 // Error implements error.
-func (e *ElsewhereError) Error() string { return "the control host at " + e.IP + " leads" }
+func (e *NotLeaderError) Error() string { return "the control host at " + e.LeaderIP + " leads" }
 
 // elsewhere returns nil only on the leader.
 func (c *Control) elsewhere() error {
 	s := c.group.Status()
 	switch {
-	case s.Current:
-		c.driver.Follow()
+	case s.CommittedInTerm:
+		c.driver.RefreshLeadership()
 		return nil
 	case s.LeaderHost != "" && s.LeaderHost != c.self.GetPeerAddress():
-		return &ElsewhereError{IP: ipOf(s.LeaderHost)}
+		return &NotLeaderError{LeaderIP: ipOf(s.LeaderHost)}
 	}
-	return ErrUnsure
+	return ErrUnavailable
 }
 
 // PutConfiguration puts a complete configuration in force. Without an error it
@@ -74,7 +74,7 @@
 	if err := c.elsewhere(); err != nil {
 		return err
 	}
-	defer c.roster.Expect()()
+	defer c.roster.RequestAcks()()
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, commitWait)
 	defer cancel()
@@ -82,14 +82,14 @@
 	behind := ""
 	if err == nil {
 		untold := c.tellConfiguration(ctx)
-		behind = logbook.Text(untold)
+		behind = asynclog.ErrorText(untold)
 		if c.withheld.hold(untold) {
-			err = errors.Newf("tell entries: %v: %w", untold, ErrUnsure)
+			err = errors.Newf("tell entries: %v: %w", untold, ErrUnavailable)
 		}
 	}
 	c.cfg.Log.Info("configuration put", "version", q.GetConfiguration().GetVersion(), "routes", len(q.GetRoutes()),
 		"pools", len(q.GetPools()), "bytes", len(q.GetConfiguration().GetDocument()),
-		"took-ms", time.Since(began).Milliseconds(), "behind", behind, "error", logbook.Text(err))
+		"took-ms", time.Since(began).Milliseconds(), "behind", behind, "error", asynclog.ErrorText(err))
 	return err
 }
 
@@ -97,7 +97,7 @@
 // that teams whose keys stay keep their records.
 func (c *Control) KeySalt() []byte {
 	var salt []byte
-	c.group.Ledger().View(func(_ ledger.Heads, r *ledger.Records) { salt = r.Configuration().GetKeySalt() })
+	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) { salt = r.Configuration().GetKeySalt() })
 	if len(salt) == 0 {
 		return team.NewSalt()
 	}
@@ -114,17 +114,17 @@
 	ctx, cancel := context.WithTimeout(ctx, configureWait)
 	defer cancel()
 	var revision uint64
-	c.group.Ledger().View(func(_ ledger.Heads, r *ledger.Records) {
+	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) {
 		revision = r.Record(ledger.ConfigurationKey).GetRevision()
 	})
-	return c.roster.AwaitTold(ctx, roster.Told{Revision: revision})
+	return c.roster.AwaitAcked(ctx, roster.Progress{Revision: revision})
 }
 
 func (c *Control) commit(ctx context.Context, cmd *schema.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, commitWait)
 	defer cancel()
 	if _, err := c.group.Commit(ctx, cmd); err != nil {
-		return errors.Newf("commit: %v: %w", err, ErrUnsure)
+		return errors.Newf("commit: %v: %w", err, ErrUnavailable)
 	}
 	return nil
 }
@@ -137,13 +137,13 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, commitWait)
 	defer cancel()
-	if _, err := c.group.Confirm(ctx); err != nil {
-		return nil, errors.Newf("confirm: %v: %w", err, ErrUnsure)
+	if _, err := c.group.ConfirmLeadership(ctx); err != nil {
+		return nil, errors.Newf("confirm: %v: %w", err, ErrUnavailable)
 	}
 	var head *schema.Configuration
-	c.group.Ledger().View(func(_ ledger.Heads, r *ledger.Records) { head = r.Configuration() })
+	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) { head = r.Configuration() })
 	if head == nil {
-		return nil, ErrNothing
+		return nil, ErrNoConfiguration
 	}
 	return head.GetDocument(), nil
 }
@@ -155,22 +155,22 @@
 // servers to the leader: where a new leader has yet to reach its hosts, the announcements
 // of the whole fleet would keep it from that.
 func (c *Control) Announce(ctx context.Context, a roster.Announcement) error {
-	leads := c.group.Status().Current
+	leads := c.group.Status().CommittedInTerm
 	if !leads && a.Leaving {
 		return c.elsewhere()
 	}
 	if !leads && !c.takesAnnouncements() {
-		return ErrUnsure
+		return ErrUnavailable
 	}
 	if leads {
-		c.driver.Follow()
+		c.driver.RefreshLeadership()
 	}
-	if leads && c.roster.LacksStart(a.ID) || !leads && c.mirror.LacksStart(a.ID) {
-		return errors.Newf("%q: %w", a.ID, ErrNoStart)
+	if leads && c.roster.LacksStartTime(a.ID) || !leads && c.mirror.LacksStartTime(a.ID) {
+		return errors.Newf("%q: %w", a.ID, ErrNoIncarnation)
 	}
 	// Who leaves is heard whatever its pool: it may have been known under another.
 	if !a.Leaving && !c.knowsPool(a.Pool) {
-		return errors.Newf("%q: %w", a.Pool, ErrNoPool)
+		return errors.Newf("%q: %w", a.Pool, ErrUnknownPool)
 	}
 	if a.Leaving {
 		if err := c.depart(ctx, a.ID); err != nil {
@@ -179,8 +179,8 @@
 	}
 	if leads {
 		c.take(a)
-	} else if c.heard.Announce(a) {
-		c.entries.Hurry()
+	} else if c.heard.Add(a) {
+		c.entries.RequestReport()
 	}
 	return nil
 }
@@ -188,7 +188,7 @@
 // take takes an announcement in at the leader.
 func (c *Control) take(a roster.Announcement) {
 	if c.roster.Announce(a) && !a.Leaving && c.roster.Ready(a.ID) {
-		c.driver.Announced(a)
+		c.driver.HandleAnnouncement(a)
 	}
 }
 
@@ -196,7 +196,7 @@
 // configuration nobody can tell.
 func (c *Control) knowsPool(name string) bool {
 	yes := false
-	c.group.Ledger().View(func(_ ledger.Heads, r *ledger.Records) {
+	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) {
 		yes = r.Configuration() == nil || r.Record(ledger.PoolKey(name)) != nil
 	})
 	return yes
@@ -205,7 +205,7 @@
 // Depart takes a backend server's word that it ends; it names the server, not the start
 // that it means.
 func (c *Control) Depart(ctx context.Context, server string) error {
-	return c.depart(ctx, c.roster.Ending(server))
+	return c.depart(ctx, c.roster.EndingIncarnation(server))
 }
 
 // depart takes the word that an incarnation ends. A server that had no answer
@@ -217,21 +217,21 @@
 	if err := c.elsewhere(); err != nil {
 		return err
 	}
-	defer c.roster.Expect()()
+	defer c.roster.RequestAcks()()
 	if !c.departed(id) {
 		err := c.commit(context.WithoutCancel(ctx), &schema.Command{Body: &schema.Command_DepartServer{
 			DepartServer: &schema.DepartServer{Server: id},
 		}})
-		c.cfg.Log.Info("server leaves", "server", id, "error", logbook.Text(err))
+		c.cfg.Log.Info("server leaves", "server", id, "error", asynclog.ErrorText(err))
 		if err != nil {
 			return err
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, tellWait)
 	defer cancel()
-	if err := c.roster.AwaitTold(ctx, roster.Told{Change: c.roster.Depart(id)}); err != nil {
-		c.cfg.Log.Info("departure not told", "server", id, "error", logbook.Text(err))
-		return errors.Newf("tell entries: %v: %w", err, ErrUnsure)
+	if err := c.roster.AwaitAcked(ctx, roster.Progress{Change: c.roster.Depart(id)}); err != nil {
+		c.cfg.Log.Info("departure not told", "server", id, "error", asynclog.ErrorText(err))
+		return errors.Newf("tell entries: %v: %w", err, ErrUnavailable)
 	}
 	return nil
 }
@@ -242,11 +242,11 @@
 func (c *Control) departed(id string) bool {
 	var own, unnamed *schema.Departure
 	name := incarnation.Parse(id)
-	c.group.Ledger().View(func(_ ledger.Heads, r *ledger.Records) {
+	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) {
 		own = r.Departure(id)
 		unnamed = r.Departure(incarnation.Name{Server: name.Server}.String())
 	})
-	return own != nil || unnamed != nil && name.Born <= unnamed.GetAtMs()
+	return own != nil || unnamed != nil && name.StartMs <= unnamed.GetAtMs()
 }
 
 // Ready reports whether this leader sends new work to a backend server.
--- a/internal/role/attend.go
+++ b/internal/role/attend.go
@@ -10,11 +10,11 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/grpc"
 
-	"fennelyard/internal/attendance"
 	"fennelyard/internal/ledger"
 	"fennelyard/internal/quarantine"
 	"fennelyard/internal/roster"
 	"fennelyard/internal/schema"
+	"fennelyard/internal/subscription"
 )
 
 const (
@@ -54,8 +54,8 @@
 		return err
 	}
 	a := newAttending(c, stream, first)
-	c.entries.Attend(a.number, a.entry, first.GetStream())
-	defer c.entries.Leave(a.number, a.entry.GetHost())
+	c.entries.Subscribe(a.number, a.entry, first.GetStream())
+	defer c.entries.Unsubscribe(a.number, a.entry.GetHost())
 	a.hear(first)
 	ctx, cancel := context.WithCancel(stream.Context())
 	go func() {
@@ -73,10 +73,10 @@
 func (c *Control) park(stream attendStream, term uint64) (bool, error) {
 	began, said := time.Now(), time.Time{}
 	for {
-		if c.inTouch() && c.mirror.At().Term >= term {
+		if c.inTouch() && c.mirror.Position().Term >= term {
 			return true, nil
 		}
-		if heard, _ := c.mirror.Heard(); !heard.IsZero() || time.Since(began) > parkFor {
+		if heard, _ := c.mirror.LeaderLastSeen(); !heard.IsZero() || time.Since(began) > parkFor {
 			return false, c.refuse(stream)
 		}
 		if time.Since(said) > beat {
@@ -106,7 +106,7 @@
 
 // leaderAge is how long ago the leader spoke, in ms; -1: it was never heard.
 func (c *Control) leaderAge() int64 {
-	heard, _ := c.mirror.Heard()
+	heard, _ := c.mirror.LeaderLastSeen()
 	if heard.IsZero() {
 		return -1
 	}
@@ -128,7 +128,7 @@
 	sent []sentWord
 
 	// The fields below belong to speak. far is how far the entry is told.
-	far attendance.Told
+	far subscription.Progress
 	// suspects reads what it is told of requests that end their servers.
 	suspects *quarantine.Reader
 	members  string
@@ -138,14 +138,14 @@
 func newAttending(c *Control, stream attendStream, first *schema.EntryNews) *attending {
 	a := &attending{
 		c: c, stream: stream, number: c.streams.Add(1), entry: first.GetEntry(),
-		suspects: c.book.Reader(quarantine.PartHeld), far: attendance.Told{Known: roster.PositionOf(first.GetKnown()), Revision: first.GetAfter()},
+		suspects: c.book.Reader(quarantine.PartHeld), far: subscription.Progress{Known: roster.PositionOf(first.GetKnown()), Revision: first.GetAfter()},
 	}
 	a.pace = pace{
 		beat: beat, gather: func() time.Duration { return gatherFor(c.entries.Count()) }, ended: c.stop,
 		log:    func() <-chan struct{} { return c.group.Ledger().Changed() },
-		roster: c.mirror.Changed, held: c.book.Changed, answered: c.mirror.Answered,
+		roster: c.mirror.Changed, held: c.book.Changed, answered: c.mirror.ForecastsUpdated,
 		answers: func(q question) bool { return len(a.forecasts(q)) > 0 },
-		brings:  func(wants []*schema.ModelDemand) bool { return c.mirror.Brings(a.far.Known, wants) },
+		brings:  func(wants []*schema.ModelDemand) bool { return c.mirror.HasTargetSince(a.far.Known, wants) },
 		waiting: make(chan question, 1),
 	}
 	return a
@@ -164,7 +164,7 @@
 // sentWord is how far the entry is told by a word.
 type sentWord struct {
 	sequence uint64
-	far      attendance.Told
+	far      subscription.Progress
 }
 
 // sentMost bounds the words that are remembered: an entry confirms with each of its own,
@@ -189,7 +189,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for len(a.sent) > 0 && a.sent[0].sequence <= taken {
-		a.c.entries.Told(a.number, a.entry.GetHost(), a.sent[0].far)
+		a.c.entries.Acknowledge(a.number, a.entry.GetHost(), a.sent[0].far)
 		a.sent = a.sent[1:]
 	}
 }
@@ -197,10 +197,10 @@
 func (a *attending) hear(news *schema.EntryNews) {
 	a.echo.Store(news.GetSentUs())
 	a.confirm(news.GetTaken())
-	if a.c.book.Take(news.GetSuspects(), false) {
-		a.c.entries.Hurry()
+	if a.c.book.Merge(news.GetSuspects(), false) {
+		a.c.entries.RequestReport()
 	}
-	a.c.entries.Hear(a.number, a.entry.GetHost(), news)
+	a.c.entries.HandleReport(a.number, a.entry.GetHost(), news)
 	a.pace.hear(news.GetDemands())
 }
 
@@ -216,7 +216,7 @@
 		news := a.news()
 		a.note(news.GetSequence())
 		if news.GetConfirm() {
-			a.c.entries.Expect(a.far)
+			a.c.entries.ExpectAck(a.far)
 		}
 		if err := a.stream.Send(news); err != nil {
 			return errors.Newf("tell entry: %w", err)
@@ -295,7 +295,7 @@
 		switch {
 		case rec.GetKey() == ledger.ConfigurationKey:
 			out.Records = append(out.Records, withoutDocument(rec))
-		case ledger.IsRouting(rec.GetKey()):
+		case ledger.IsRoutingKey(rec.GetKey()):
 			out.Records = append(out.Records, rec)
 		}
 	}
--- a/internal/role/attend_test.go
+++ b/internal/role/attend_test.go
@@ -36,9 +36,9 @@
 // changeOften loads and drops a model at an engine, which no caller waits for.
 func changeOften(r *roster.Roster, during time.Duration) {
 	for began := time.Now(); time.Since(began) < during; {
-		r.Hold("i-1", []*schema.HeldModel{{Name: "other"}})
+		r.SetModels("i-1", []*schema.HeldModel{{Name: "other"}})
 		time.Sleep(3 * time.Millisecond)
-		r.Hold("i-1", nil)
+		r.SetModels("i-1", nil)
 		time.Sleep(3 * time.Millisecond)
 	}
 }
@@ -54,12 +54,12 @@
 		began := time.Now()
 		go func() {
 			for range 3 {
-				r.Hold("i-1", []*schema.HeldModel{{Name: "other"}})
+				r.SetModels("i-1", []*schema.HeldModel{{Name: "other"}})
 				time.Sleep(3 * time.Millisecond)
-				r.Hold("i-1", nil)
+				r.SetModels("i-1", nil)
 				time.Sleep(3 * time.Millisecond)
 			}
-			r.Hold("i-1", []*schema.HeldModel{{Name: "rare"}})
+			r.SetModels("i-1", []*schema.HeldModel{{Name: "rare"}})
 		}()
 		require.True(t, a.Rest(context.Background()))
 		require.Equal(t, 18*time.Millisecond, time.Since(began))
--- a/internal/role/backends_test.go
+++ b/internal/role/backends_test.go
@@ -54,11 +54,11 @@
 // backendCodec speaks to the stand-ins.
 func backendCodec() gateway.Codec {
 	return gateway.Codec{
-		Read: func(r *http.Request) gateway.Call { return gateway.Call{ID: r.Header.Get("X-Id")} },
-		Mark: func(h http.Header, m gateway.Mark) { h.Set("X-For", m.Server) },
-		Own:  func(a http.Header, id string) bool { return a.Get("X-Id") == id },
-		Judge: func(status int, _ http.Header) gateway.Verdict {
-			return gateway.Verdict{NotRun: status == http.StatusServiceUnavailable, Signed: true}
+		ParseRequest:     func(r *http.Request) gateway.RequestInfo { return gateway.RequestInfo{ID: r.Header.Get("X-Id")} },
+		SetForwardHeader: func(h http.Header, m gateway.ForwardInfo) { h.Set("X-For", m.Server) },
+		MatchesRequest:   func(a http.Header, id string) bool { return a.Get("X-Id") == id },
+		ParseResponse: func(status int, _ http.Header) gateway.ResponseInfo {
+			return gateway.ResponseInfo{NotRun: status == http.StatusServiceUnavailable, Signed: true}
 		},
 	}
 }
--- a/internal/role/changes.go
+++ b/internal/role/changes.go
@@ -27,7 +27,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var present uint64
-	l.View(func(h ledger.Heads, _ *ledger.Records) { present = h.Index })
+	l.View(func(h ledger.Status, _ *ledger.Records) { present = h.Index })
 	if e.after == nil || present != e.revision {
 		e.revision, e.after = present, map[uint64][]byte{}
 	}
--- a/internal/role/control.go
+++ b/internal/role/control.go
@@ -13,7 +13,6 @@
 	"github.com/cockroachdb/errors"
 	"github.com/go-logr/logr"
 
-	"fennelyard/internal/attendance"
 	"fennelyard/internal/consensus"
 	"fennelyard/internal/control"
 	"fennelyard/internal/ledger"
@@ -25,6 +24,7 @@
 	"fennelyard/internal/roster"
 	"fennelyard/internal/schema"
 	"fennelyard/internal/settings"
+	"fennelyard/internal/subscription"
 )
 
 const (
@@ -80,10 +80,10 @@
 	// themselves here.
 	roster  *roster.Roster
 	mirror  *roster.Mirror
-	heard   *roster.Heard
-	entries *attendance.Entries
+	heard   *roster.AnnouncementForwarder
+	entries *subscription.Registry
 	// book is what is known of requests that end their servers.
-	book *quarantine.Book
+	book *quarantine.SuspectSet
 	// recalled is the last term in which the recorded ones were taken in.
 	recalled atomic.Uint64
 	// quotas are what the entries of all control hosts admitted of the teams' quotas, while
@@ -93,7 +93,7 @@
 	began   time.Time
 	lag     lag
 	driver  *loading.Driver
-	hand    *loading.Hand
+	hand    *loading.Sender
 	server  *peer.Server
 	http    *http.Server
 	streams atomic.Uint64
@@ -127,11 +127,11 @@
 		Self: address, AnnounceEvery: s.GetAnnounceEvery().AsDuration(), Departed: c.departed, Now: time.Now, Log: cfg.Log.WithName("roster"),
 	})
 	c.mirror = roster.NewMirror(roster.MirrorConfig{Now: time.Now})
-	c.heard = roster.NewHeard(time.Now)
-	c.book = quarantine.New(quarantine.Config{Now: time.Now, Log: cfg.Log.WithName("quarantine")})
+	c.heard = roster.NewAnnouncementForwarder(time.Now)
+	c.book = quarantine.NewSuspectSet(quarantine.SuspectSetConfig{Now: time.Now, Log: cfg.Log.WithName("quarantine")})
 	quotaWindow := s.GetQuotaWindow().AsDuration()
 	c.quotas = quota.NewTotals(quotaWindow)
-	c.entries = attendance.New(attendance.Config{Now: time.Now, QuotaWindow: quotaWindow, Log: cfg.Log.WithName("attendance")})
+	c.entries = subscription.New(subscription.Config{Now: time.Now, QuotaWindow: quotaWindow, Log: cfg.Log.WithName("attendance")})
 	if err := c.start(s); err != nil {
 		c.Close()
 		return nil, err
@@ -203,8 +203,8 @@
 		return errors.Newf("open state: %w", err)
 	}
 	c.group, err = control.NewGroup(control.Config{
-		Group: groupID, Self: c.self, Seeds: c.cfg.Settings.Seeds, Founding: s.GetFounding(),
-		Storage: c.storage, Dialer: c.dialer, Asking: c.orders, Heartbeat: heartbeat, Election: election,
+		Group: groupID, Self: c.self, Seeds: c.cfg.Settings.Seeds, Bootstrap: s.GetFounding(),
+		Storage: c.storage, Dialer: c.dialer, QueryDialer: c.orders, Heartbeat: heartbeat, Election: election,
 		SnapshotAfter: snapshotAfter, SilentTicks: silentTicks, Random: c.cfg.Random, Log: c.cfg.Log.WithName("group"),
 	})
 	if err != nil {
@@ -220,7 +220,7 @@
 		return float64(len(c.voters()))
 	})
 	c.cfg.Metrics.Gauge("control_voters_silent", "Voters that this leader has not heard for a second or more; 0 on other hosts.", func() float64 {
-		return float64(len(c.group.Status().Silent))
+		return float64(len(c.group.Status().SilentVoters))
 	})
 	c.cfg.Metrics.Gauge("control_entries_attending", "Entries that this control host tells what the leader says.", func() float64 {
 		return float64(c.entries.Count())
@@ -229,7 +229,7 @@
 		return float64(c.leaderAge()) / float64(time.Second/time.Millisecond)
 	})
 	c.cfg.Metrics.Gauge("control_requests_held_back", "Requests that end their servers, and that entries hold back.", func() float64 {
-		return float64(c.book.HeldCount())
+		return float64(c.book.HeldBackCount())
 	})
 	c.cfg.Metrics.Gauge("control_log_lags", "1 while this control host's log lags so much that it tells entries nothing.", func() float64 {
 		if c.lags() {
@@ -241,7 +241,7 @@
 
 func (c *Control) pools() []*schema.Pool {
 	var out []*schema.Pool
-	c.group.Ledger().View(func(_ ledger.Heads, r *ledger.Records) { out = r.Pools() })
+	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) { out = r.Pools() })
 	return out
 }
 
@@ -249,7 +249,7 @@
 // stops.
 func (c *Control) whileLeading(every time.Duration, f func()) {
 	c.every(every, func() {
-		if c.group.Status().Current {
+		if c.group.Status().CommittedInTerm {
 			f()
 		}
 	})
--- a/internal/role/control_test.go
+++ b/internal/role/control_test.go
@@ -77,7 +77,7 @@
 	own := roster.Announcement{ID: "i-1@1784556072000", Pool: "app", Address: "127.0.0.1:1", Slots: 1, Sequence: 1}
 	require.NoError(t, c.Announce(context.Background(), own))
 	foreign := roster.Announcement{ID: "i-1", Pool: "app", Address: "127.0.0.1:9", Slots: 1, Sequence: 2, Leaving: true}
-	require.ErrorIs(t, c.Announce(context.Background(), foreign), role.ErrNoStart)
+	require.ErrorIs(t, c.Announce(context.Background(), foreign), role.ErrNoIncarnation)
 	own.Sequence = 3
 	require.NoError(t, c.Announce(context.Background(), own))
 	require.True(t, c.Ready(own.ID))
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -42,11 +42,11 @@
 	Codec    gateway.Codec
 	// Ready and Directory make the handlers of questions whether the entry is
 	// ready and which entries to use.
-	Ready     func(*Entry) http.Handler
-	Directory func(*Entry) http.Handler
-	Metrics   *metrics.Set
-	Log       logr.Logger
-	Requests  logr.Logger
+	Ready      func(*Entry) http.Handler
+	Directory  func(*Entry) http.Handler
+	Metrics    *metrics.Set
+	Log        logr.Logger
+	RequestLog logr.Logger
 	// Network is how the entry reaches control hosts and is reached; the zero value:
 	// over TCP.
 	Network Network
@@ -77,15 +77,15 @@
 		},
 		Seeds: cfg.Settings.Seeds, Dialer: e.dialer, Replica: ledger.NewReplica(),
 		Sender: relay.NewSender(relay.Config{
-			Dialed: func(_ time.Duration, err error) { cfg.Metrics.Connected(err) }, Dial: cfg.Network.Dial,
+			OnDial: func(_ time.Duration, err error) { cfg.Metrics.Connected(err) }, Dial: cfg.Network.Dial,
 		}),
-		Codec: cfg.Codec, Log: cfg.Log.WithName("entry"), Requests: cfg.Requests,
-		Budget: gateway.BudgetConfig{
-			Ratio: s.GetRepeatRatio(), Window: s.GetRepeatWindow().AsDuration(), Slack: int(s.GetRepeatSlack()),
+		Codec: cfg.Codec, Log: cfg.Log.WithName("entry"), RequestLog: cfg.RequestLog,
+		RetryBudget: gateway.RetryBudgetConfig{
+			Ratio: s.GetRepeatRatio(), Window: s.GetRepeatWindow().AsDuration(), Burst: int(s.GetRepeatSlack()),
 		},
 		KeyRevocation: s.GetKeyRevocation().AsDuration(), QuotaWindow: s.GetQuotaWindow().AsDuration(),
-		Served: func(x gateway.Served) {
-			cfg.Metrics.Served(x.Kind, x.Outcome.String(), x.Status, x.Took, x.First, x.Attempts)
+		OnRequestDone: func(x gateway.RequestStats) {
+			cfg.Metrics.Served(x.RouteKind, x.Outcome.String(), x.Status, x.Duration, x.TimeToFirstByte, x.Attempts)
 			cfg.Metrics.TeamRequest(x.Team, x.Outcome.String())
 		},
 	})
@@ -108,7 +108,7 @@
 		{"known_entries", "Entries that callers are told of.", func(s gateway.State) float64 { return float64(s.Entries) }},
 		{"waiting_requests", "Requests that wait for a model.", func(s gateway.State) float64 { return float64(s.Waiting) }},
 		{"requests_held_back", "Requests that this entry holds back, as they end their servers.", func(s gateway.State) float64 { return float64(s.HeldBack) }},
-		{"control_host_streams", "Streams to control hosts since the start.", func(s gateway.State) float64 { return float64(s.Streams) }},
+		{"control_host_streams", "Streams to control hosts since the start.", func(s gateway.State) float64 { return float64(s.Subscriptions) }},
 		{"leader_age_seconds", "Time since the leader spoke; below 0: never.", func(s gateway.State) float64 { return s.LeaderAge.Seconds() }},
 	} {
 		e.cfg.Metrics.Gauge(x.name, x.help, func() float64 { return x.read(e.gateway.State()) })
@@ -168,7 +168,7 @@
 func (e *Entry) Drain(ctx context.Context) {
 	limit := e.cfg.Settings.Get().GetStopLimit().AsDuration()
 	began := time.Now()
-	e.gateway.Stopping(began.Add(portion(limit, sendShare)))
+	e.gateway.StartDraining(began.Add(portion(limit, sendShare)))
 	e.cfg.Log.Info("draining", "in-flight", e.gateway.InFlight(), "limit-ms", limit.Milliseconds())
 	// Each answer from now on asks its caller to connect anew elsewhere, and
 	// idle connections are closed.
@@ -182,7 +182,7 @@
 			e.refuseCallers()
 		}
 		if gone > portion(limit, endShare) {
-			e.gateway.End()
+			e.gateway.AbortRequests()
 		}
 		if gone > portion(limit, closeShare) || !accepts && e.gateway.InFlight() == 0 {
 			break
--- a/internal/role/export_test.go
+++ b/internal/role/export_test.go
@@ -29,7 +29,7 @@
 			n++
 		}
 	}
-	return n, s.Current
+	return n, s.CommittedInTerm
 }
 
 // Votes reports whether this host is a voter, as far as it knows.
@@ -59,7 +59,7 @@
 	a := &Attending{r: r}
 	a.p = pace{
 		beat: beat, gather: func() time.Duration { return gatherFor(entries) }, log: never, roster: r.Changed, held: never, answered: never, answers: always,
-		brings:  func(wants []*schema.ModelDemand) bool { return r.Brings(a.known, wants) },
+		brings:  func(wants []*schema.ModelDemand) bool { return r.HasTargetSince(a.known, wants) },
 		waiting: make(chan question, 1),
 	}
 	a.p.start()
@@ -72,7 +72,7 @@
 // Rest returns when a word to the entry is due, of all changes so far.
 func (a *Attending) Rest(ctx context.Context) bool {
 	a.p.watch()
-	_, a.known = a.r.Since(a.known)
+	_, a.known = a.r.ServersSince(a.known)
 	a.p.asked = false
 	return a.p.rest(ctx)
 }
@@ -93,7 +93,7 @@
 func (e *Entry) Version() uint64 { return uint64(e.gateway.State().Version) }
 
 // KeyHolds reports whether this entry takes requests with an API key.
-func (e *Entry) KeyHolds(key string) bool { return e.gateway.KeyHolds(key) }
+func (e *Entry) KeyHolds(key string) bool { return e.gateway.AcceptsKey(key) }
 
 // Callers serves callers' requests at this entry.
 func (e *Entry) Callers() http.Handler { return e.gateway }
@@ -101,7 +101,7 @@
 // Attends returns the IP address of the control host that tells this entry what the leader
 // says, "": none.
 func (e *Entry) Attends() string {
-	host := e.gateway.State().Host
+	host := e.gateway.State().ControlHost
 	if host == "" {
 		return ""
 	}
--- a/internal/role/follow.go
+++ b/internal/role/follow.go
@@ -8,10 +8,10 @@
 	"github.com/cockroachdb/errors"
 	"google.golang.org/grpc"
 
-	"fennelyard/internal/attendance"
-	"fennelyard/internal/logbook"
+	"fennelyard/internal/asynclog"
 	"fennelyard/internal/quarantine"
 	"fennelyard/internal/schema"
+	"fennelyard/internal/subscription"
 )
 
 const (
@@ -46,11 +46,11 @@
 			if now := time.Now(); now.Sub(logged) > lostEvery {
 				// A host that does not answer is tried many times a second.
 				logged = now
-				c.cfg.Log.Info("leader not followed", "leader", leader, "error", logbook.Text(err))
+				c.cfg.Log.Info("leader not followed", "leader", leader, "error", asynclog.ErrorText(err))
 			}
 			if errors.Is(err, errSilent) {
 				// Something between the hosts may have lost track of the connection.
-				c.news.Renew(leader)
+				c.news.Reset(leader)
 			}
 		}
 		select {
@@ -83,8 +83,8 @@
 	if err != nil {
 		return errors.Newf("follow: %w", err)
 	}
-	c.entries.Begin()
-	c.heard.Begin(c.cfg.Settings.Get().GetAnnounceEvery().AsDuration())
+	c.entries.ResetReported()
+	c.heard.Reset(c.cfg.Settings.Get().GetAnnounceEvery().AsDuration())
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
@@ -107,8 +107,8 @@
 		}
 		// Before the mirror, whose word lets entries be told: an entry that has just started
 		// must not serve before it knows what is held back.
-		c.book.Take(news.GetSuspects(), true)
-		if !c.mirror.Take(news) {
+		c.book.Merge(news.GetSuspects(), true)
+		if !c.mirror.Apply(news) {
 			return errors.Newf("term %d: %w", news.GetKnown().GetTerm(), errOtherLeader)
 		}
 		c.mirror.Confirm(c.confirmedBy(news), news.GetRevision())
@@ -152,8 +152,8 @@
 	host := &schema.ControlHost{Address: c.self.GetPeerAddress(), DataCentre: c.self.GetDataCentre()}
 	suspects := c.book.Reader(quarantine.PartNoted)
 	for due := true; ; {
-		news := c.entries.News(attendance.Told{Known: c.mirror.At(), Revision: c.applied()}, due)
-		news.Host, news.Lagging, news.Servers = host, c.lags(), c.heard.News()
+		news := c.entries.NextReport(subscription.Progress{Known: c.mirror.Position(), Revision: c.applied()}, due)
+		news.Host, news.Lagging, news.Servers = host, c.lags(), c.heard.TakePending()
 		news.Suspects, news.SentUs = suspects.Next(), uint64(time.Since(c.began).Microseconds())
 		if err := stream.Send(news); err != nil {
 			return
@@ -169,7 +169,7 @@
 			return
 		case <-ticker.C:
 			due = true
-		case <-c.entries.Urgent():
+		case <-c.entries.ReportRequested():
 		}
 	}
 }
--- a/internal/role/harmful_test.go
+++ b/internal/role/harmful_test.go
@@ -117,7 +117,7 @@
 	}
 	for i, ip := range ips {
 		<-over[i]
-		s.network.On(ip)
+		s.network.PowerOn(ip)
 		s.startControl(ip, s.disks[ip], false)
 	}
 }
--- a/internal/role/known.go
+++ b/internal/role/known.go
@@ -6,8 +6,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"fennelyard/internal/asynclog"
 	"fennelyard/internal/ledger"
-	"fennelyard/internal/logbook"
 	"fennelyard/internal/schema"
 )
 
@@ -29,12 +29,12 @@
 		return
 	}
 	err := c.commit(context.Background(), &schema.Command{Body: &schema.Command_RememberServers{RememberServers: q}})
-	c.cfg.Log.Info("servers recorded", "come", len(q.GetServers()), "gone", len(q.GetForgotten()), "error", logbook.Text(err))
+	c.cfg.Log.Info("servers recorded", "come", len(q.GetServers()), "gone", len(q.GetForgotten()), "error", asynclog.ErrorText(err))
 }
 
 func (c *Control) knownServers() []*schema.KnownServer {
 	var out []*schema.KnownServer
-	c.group.Ledger().View(func(_ ledger.Heads, r *ledger.Records) { out = r.KnownServers() })
+	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) { out = r.KnownServers() })
 	return out
 }
 
@@ -42,7 +42,7 @@
 // that are recorded.
 func (c *Control) serverChanges(known []*schema.KnownServer) *schema.RememberServers {
 	q := &schema.RememberServers{}
-	present := c.roster.Known()
+	present := c.roster.ReadyServers()
 	for _, k := range known {
 		switch now := present[k.GetId()]; {
 		case now == nil:
--- a/internal/role/lead.go
+++ b/internal/role/lead.go
@@ -32,22 +32,22 @@
 // either side is gone or this host leads no longer.
 func (c *Control) lead(stream followStream) error {
 	s := c.group.Status()
-	if !s.Current {
+	if !s.CommittedInTerm {
 		if err := stream.Send(&schema.LeaderNews{NotLeader: true, LeaderAddress: s.LeaderHost}); err != nil {
 			return errors.Newf("name the leader: %w", err)
 		}
 		return nil
 	}
-	c.driver.Follow()
+	c.driver.RefreshLeadership()
 	c.recallSuspects(s.Term)
 	first, err := stream.Recv()
 	if err != nil {
 		return errors.Newf("hear host: %w", err)
 	}
 	l := newLeading(c, stream, first.GetHost(), s.Term)
-	c.roster.Follow(l.number, l.host)
-	defer c.roster.Unfollow(l.number, l.address())
-	defer c.driver.Forget(l.address())
+	c.roster.HostConnected(l.number, l.host)
+	defer c.roster.HostDisconnected(l.number, l.address())
+	defer c.driver.RemoveEntry(l.address())
 	l.hear(first)
 	ctx, cancel := context.WithCancel(stream.Context())
 	go func() {
@@ -69,7 +69,7 @@
 	// echo is the host's clock as its latest message left.
 	echo atomic.Uint64
 	// heard belongs to whoever hears.
-	heard roster.HeardReader
+	heard roster.AnnouncementReader
 
 	// The fields below belong to speak. change is how far the host is told.
 	change   uint64
@@ -84,7 +84,7 @@
 		beat: hostBeat, gather: l.gatherFor, ended: c.stop,
 		// Control hosts have the log themselves.
 		log: never, roster: c.roster.Changed, held: c.book.Changed, answered: never, answers: always,
-		brings:  func(wants []*schema.ModelDemand) bool { return c.roster.Brings(l.change, wants) },
+		brings:  func(wants []*schema.ModelDemand) bool { return c.roster.HasTargetSince(l.change, wants) },
 		waiting: make(chan question, 1),
 	}
 	return l
@@ -119,13 +119,13 @@
 	if u := news.GetTeamUses(); u != nil {
 		l.c.quotas.Report(l.address(), u, time.Now())
 	}
-	l.c.roster.Hear(l.number, l.address(), l.term, news)
-	l.c.driver.Demand(l.address(), news.GetDemands())
+	l.c.roster.UpdateHost(l.number, l.address(), l.term, news)
+	l.c.driver.HandleDemand(l.address(), news.GetDemands())
 	l.pace.hear(news.GetDemands())
-	l.c.book.Take(news.GetSuspects(), false)
+	l.c.book.Merge(news.GetSuspects(), false)
 	now := time.Now()
 	for _, h := range news.GetServers() {
-		if a, known := l.heard.Read(h, now); known && !l.c.roster.LacksStart(a.ID) {
+		if a, known := l.heard.Read(h, now); known && !l.c.roster.LacksStartTime(a.ID) {
 			l.c.take(a)
 		}
 	}
@@ -137,7 +137,7 @@
 	defer l.pace.ticker.Stop()
 	for {
 		s := l.c.group.Status()
-		if !s.Current || s.Term != l.term || l.c.roster.Silent(l.number, l.address()) {
+		if !s.CommittedInTerm || s.Term != l.term || l.c.roster.HostSilent(l.number, l.address()) {
 			return nil
 		}
 		l.pace.watch()
@@ -153,17 +153,17 @@
 func (l *leading) news() *schema.LeaderNews {
 	l.sequence++
 	echo, status := l.echo.Load(), l.c.group.Status()
-	news := l.c.roster.News(l.change)
+	news := l.c.roster.UpdateSince(l.change)
 	l.change = news.GetKnown().GetChange()
 	news.Sequence, news.Known.Term = l.sequence, l.term
 	// Not when this host speaks: one that is cut off takes itself for the leader for a
 	// second, in which another is elected.
-	news.LeaderAgeMs = time.Since(status.Confirmed).Milliseconds()
-	if status.Current && !status.Confirmed.IsZero() {
-		news.EchoUs, news.ConfirmedAgeMs = echo, ageMs(status.Confirmed)
+	news.LeaderAgeMs = time.Since(status.ConfirmedAt).Milliseconds()
+	if status.CommittedInTerm && !status.ConfirmedAt.IsZero() {
+		news.EchoUs, news.ConfirmedAgeMs = echo, ageMs(status.ConfirmedAt)
 	}
 	// What is committed may have been acknowledged by an earlier leader.
-	news.Revision, news.Lagging = max(l.c.applied(), status.Commit), l.c.roster.Lagging(l.number, l.address())
+	news.Revision, news.Lagging = max(l.c.applied(), status.Commit), l.c.roster.HostLagging(l.number, l.address())
 	if l.pace.asked {
 		news.Forecasts, l.pace.asked = l.c.driver.Forecasts(l.pace.question.wants), false
 	}
@@ -176,6 +176,6 @@
 
 // applied is the index up to which this host has applied the log.
 func (c *Control) applied() (index uint64) {
-	c.group.Ledger().View(func(h ledger.Heads, _ *ledger.Records) { index = h.Index })
+	c.group.Ledger().View(func(h ledger.Status, _ *ledger.Records) { index = h.Index })
 	return index
 }
--- a/internal/role/leader_bench_test.go
+++ b/internal/role/leader_bench_test.go
@@ -81,7 +81,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.byID[o.Server]
-	if e.busy || e.taken != o.Taken {
+	if e.busy || e.taken != o.OrdersTaken {
 		return loading.OutcomeConflict, nil
 	}
 	e.taken++
@@ -109,7 +109,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.byID[server]
-	return loading.Report{Held: e.views(), Busy: e.busy, Taken: e.taken}, nil
+	return loading.Report{Loaded: e.views(), Busy: e.busy, OrdersTaken: e.taken}, nil
 }
 
 func (e *farmEngine) views() []*schema.HeldModel {
@@ -124,7 +124,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e.seq++
-	a := roster.Announcement{ID: e.id, Pool: "llm", Address: "127.0.0.1:" + e.id, Slots: 12, Sequence: e.seq, Held: e.views()}
+	a := roster.Announcement{ID: e.id, Pool: "llm", Address: "127.0.0.1:" + e.id, Slots: 12, Sequence: e.seq, Loaded: e.views()}
 	for m := range e.onDisk {
 		a.OnDisk = append(a.OnDisk, m)
 	}
@@ -401,7 +401,7 @@
 	s, err := role.LoadSettings(file)
 	require.NoError(b, err)
 	c, err := role.NewControl(role.ControlConfig{
-		Settings: s, Metrics: metrics.New(), Log: logr.Discard(), Engines: loading.Engines{Give: f.give, Ask: f.ask},
+		Settings: s, Metrics: metrics.New(), Log: logr.Discard(), Engines: loading.Engines{SendOrder: f.give, FetchReport: f.ask},
 		Handler: func(*role.Control) http.Handler { return http.NotFoundHandler() },
 	})
 	require.NoError(b, err)
--- a/internal/role/lost_disks_test.go
+++ b/internal/role/lost_disks_test.go
@@ -47,7 +47,7 @@
 			if want := leaders[i]; want != noOne {
 				require.Equal(t, controlIP(want), s.leader())
 			}
-			s.network.On(lost)
+			s.network.PowerOn(lost)
 			s.startControl(lost, t.TempDir(), false)
 			s.await(catchUp, "the lost host's vote", func() bool { return s.voters() == 5 && s.control[lost].Votes() })
 		}
--- a/internal/role/orders_test.go
+++ b/internal/role/orders_test.go
@@ -29,10 +29,10 @@
 		return loading.Engines{}
 	}
 	return loading.Engines{
-		Give: func(_ context.Context, _, holder string, o loading.Order) (loading.Outcome, error) {
+		SendOrder: func(_ context.Context, _, holder string, o loading.Order) (loading.Outcome, error) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			if int(o.Taken) != len(e.by[o.Server]) {
+			if int(o.OrdersTaken) != len(e.by[o.Server]) {
 				return loading.OutcomeConflict, nil
 			}
 			e.by[o.Server] = append(e.by[o.Server], holder)
@@ -41,8 +41,8 @@
 			}
 			return loading.OutcomeTaken, nil
 		},
-		Ask: func(_ context.Context, _, server string) (loading.Report, error) {
-			return loading.Report{Held: e.holds(server), Taken: uint64(e.orders(server))}, nil
+		FetchReport: func(_ context.Context, _, server string) (loading.Report, error) {
+			return loading.Report{Loaded: e.holds(server), OrdersTaken: uint64(e.orders(server))}, nil
 		},
 	}
 }
@@ -63,8 +63,8 @@
 func (c *cluster) announce(sequence uint64, servers ...string) {
 	for _, h := range c.hosts {
 		for i, id := range servers {
-			a := roster.Announcement{ID: id, Pool: "pool-" + id, Address: fmt.Sprint("10.9.9.9:", i+1), Sequence: sequence, Held: c.engines.holds(id)}
-			for _, m := range a.Held {
+			a := roster.Announcement{ID: id, Pool: "pool-" + id, Address: fmt.Sprint("10.9.9.9:", i+1), Sequence: sequence, Loaded: c.engines.holds(id)}
+			for _, m := range a.Loaded {
 				a.OnDisk = append(a.OnDisk, m.GetName())
 			}
 			// A host that does not lead says so.
--- a/internal/role/quota.go
+++ b/internal/role/quota.go
@@ -22,7 +22,7 @@
 func (c *Control) usesMuch(u *schema.TeamUse) bool {
 	q := c.quotaOf(u.GetTeam())
 	part := quota.Budget(q, c.quotaWindow()) * reportedUse
-	return quota.Limits(q) && (u.GetAdmitted() > part || u.GetRequested() > part/quota.DemandPart)
+	return quota.Limits(q) && (u.GetAdmitted() > part || u.GetRequested() > part/quota.DemandWindowDivisor)
 }
 
 func (c *Control) quotaWindow() time.Duration {
@@ -30,7 +30,7 @@
 }
 
 func (c *Control) quotaOf(team string) (q *schema.Quota) {
-	c.group.Ledger().View(func(_ ledger.Heads, r *ledger.Records) { q = r.Team(team).GetQuota() })
+	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) { q = r.Team(team).GetQuota() })
 	return q
 }
 
--- a/internal/role/refused.go
+++ b/internal/role/refused.go
@@ -34,18 +34,18 @@
 	return true
 }
 
-// Refused logs and counts what a caller of the control host sent and could not be
+// RecordRefusal logs and counts what a caller of the control host sent and could not be
 // taken. what and reason are few.
-func (c *Control) Refused(what, reason string, err error) {
+func (c *Control) RecordRefusal(what, reason string, err error) {
 	c.cfg.Metrics.Refused(what, reason)
 	if c.refusals.due(refusedFor{what, reason}) {
 		c.cfg.Log.Info("refused", "what", what, "reason", reason, "error", err.Error())
 	}
 }
 
-// LeftOut logs and counts entries of a server's lists that could not be read; the others
+// RecordSkippedEntries logs and counts entries of a server's lists that could not be read; the others
 // hold.
-func (c *Control) LeftOut(server string, entries int) {
+func (c *Control) RecordSkippedEntries(server string, entries int) {
 	const what, reason = "announcement", "entries"
 	c.cfg.Metrics.Refused(what, reason)
 	if c.refusals.due(refusedFor{what, reason}) {
--- a/internal/role/schedule_test.go
+++ b/internal/role/schedule_test.go
@@ -266,7 +266,7 @@
 	if wiped {
 		s.disks[ip] = s.t.TempDir()
 	}
-	s.network.On(ip)
+	s.network.PowerOn(ip)
 	s.startControl(ip, s.disks[ip], false)
 	s.note("%s is back", ip)
 }
--- a/internal/role/site_test.go
+++ b/internal/role/site_test.go
@@ -101,7 +101,7 @@
 }
 
 func (s *site) at(ip string) role.Network {
-	return role.Network{Listen: s.network.Listen, Dial: s.network.From(ip)}
+	return role.Network{Listen: s.network.Listen, Dial: s.network.DialFrom(ip)}
 }
 
 // startControl starts a control host on a disk.
@@ -136,7 +136,7 @@
 	none := func(*role.Entry) http.Handler { return http.NotFoundHandler() }
 	e, err := role.NewEntry(role.EntryConfig{
 		Settings: s.settings(ip, fmt.Sprintf("caller-address: %s:9000\nready-address: %s:9001\nkey-revocation: %s\n", ip, ip, siteRevocation)),
-		Codec:    backendCodec(), Ready: none, Directory: none, Metrics: metrics.New(), Log: siteLog(ip), Requests: logr.Discard(), Network: s.at(ip),
+		Codec:    backendCodec(), Ready: none, Directory: none, Metrics: metrics.New(), Log: siteLog(ip), RequestLog: logr.Discard(), Network: s.at(ip),
 	})
 	require.NoError(s.t, err)
 	s.entries[ip] = e
@@ -167,7 +167,7 @@
 // powerOff ends a control host at once: nothing that it does from here on is heard. Its
 // disk can be used again once the channel is closed.
 func (s *site) powerOff(ip string) <-chan struct{} {
-	s.network.Off(ip)
+	s.network.PowerOff(ip)
 	c, over := s.control[ip], make(chan struct{})
 	s.controlMu.Lock()
 	delete(s.control, ip)
--- a/internal/role/suspects.go
+++ b/internal/role/suspects.go
@@ -10,8 +10,8 @@
 	"github.com/labstack/echo/v4"
 	"google.golang.org/protobuf/proto"
 
+	"fennelyard/internal/asynclog"
 	"fennelyard/internal/ledger"
-	"fennelyard/internal/logbook"
 	"fennelyard/internal/operator"
 	"fennelyard/internal/quarantine"
 	"fennelyard/internal/schema"
@@ -21,7 +21,7 @@
 // questions about requests that end their servers.
 func (c *Control) operatorHandler() http.Handler {
 	own := echo.New()
-	operator.AddSuspects(own, operator.SuspectsConfig{List: c.book.List, Release: c.release, Log: c.cfg.Log.WithName("quarantine")})
+	operator.RegisterSuspects(own, operator.SuspectsConfig{List: c.book.List, Release: c.release, Log: c.cfg.Log.WithName("quarantine")})
 	mux := http.NewServeMux()
 	mux.Handle(operator.SuspectsPath, own)
 	mux.Handle(operator.SuspectsPath+"/", own)
@@ -33,7 +33,7 @@
 func (c *Control) release(key quarantine.Key) bool {
 	released := c.book.Clear(key)
 	if released {
-		c.entries.Hurry()
+		c.entries.RequestReport()
 	}
 	return released
 }
@@ -45,17 +45,17 @@
 		return
 	}
 	var list []*schema.Suspect
-	c.group.Ledger().View(func(_ ledger.Heads, r *ledger.Records) { list = r.Suspects(time.Now()) })
+	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) { list = r.Suspects(time.Now()) })
 	if len(list) == 0 {
 		return
 	}
-	c.book.Take(list, false)
+	c.book.Merge(list, false)
 	c.cfg.Log.Info("suspects recalled", "count", len(list), "term", term)
 }
 
 func (c *Control) knownSuspects() []*schema.KnownSuspect {
 	var out []*schema.KnownSuspect
-	c.group.Ledger().View(func(_ ledger.Heads, r *ledger.Records) { out = r.KnownSuspects() })
+	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) { out = r.KnownSuspects() })
 	return out
 }
 
@@ -68,7 +68,7 @@
 		return
 	}
 	err := c.commit(context.Background(), &schema.Command{Body: &schema.Command_RememberSuspects{RememberSuspects: q}})
-	c.cfg.Log.Info("suspects recorded", "come", len(q.GetSuspects()), "gone", len(q.GetForgotten()), "error", logbook.Text(err))
+	c.cfg.Log.Info("suspects recorded", "come", len(q.GetSuspects()), "gone", len(q.GetForgotten()), "error", asynclog.ErrorText(err))
 }
 
 // suspectChanges is the difference between the requests that are likely to end their
--- a/internal/role/touch.go
+++ b/internal/role/touch.go
@@ -42,7 +42,7 @@
 
 // lags reports whether this host's log lags so much that it tells entries nothing.
 func (c *Control) lags() bool {
-	_, revision := c.mirror.Heard()
+	_, revision := c.mirror.LeaderLastSeen()
 	return c.lag.holds(c.applied(), revision, time.Now())
 }
 
@@ -57,7 +57,7 @@
 	if c.inTouch() {
 		return true
 	}
-	heard, _ := c.mirror.Heard()
+	heard, _ := c.mirror.LeaderLastSeen()
 	if heard.Before(c.began) {
 		heard = c.began
 	}
@@ -68,6 +68,6 @@
 // has lagged the leader must have said that it waits for this host again: a change that
 // is acknowledged without it would be unknown to entries that come here.
 func (c *Control) inTouch() bool {
-	heard, _ := c.mirror.Heard()
-	return !heard.IsZero() && time.Since(heard) < leaderlessFor && !c.mirror.Unawaited() && !c.lags()
+	heard, _ := c.mirror.LeaderLastSeen()
+	return !heard.IsZero() && time.Since(heard) < leaderlessFor && !c.mirror.MarkedLagging() && !c.lags()
 }
--- a/internal/role/tree_test.go
+++ b/internal/role/tree_test.go
@@ -320,10 +320,10 @@
 		s.await(200*time.Millisecond, "five servers", all(5))
 		foreign := word(0, 9)
 		foreign.ID = "i-0"
-		require.ErrorIs(t, host.Announce(context.Background(), foreign), role.ErrNoStart)
+		require.ErrorIs(t, host.Announce(context.Background(), foreign), role.ErrNoIncarnation)
 		leaving := word(4, 3)
 		leaving.Leaving = true
-		var elsewhere *role.ElsewhereError
+		var elsewhere *role.NotLeaderError
 		require.ErrorAs(t, host.Announce(context.Background(), leaving), &elsewhere)
 		require.NoError(t, s.control[leader].Announce(context.Background(), leaving))
 		require.True(t, all(4)())
