--- a/internal/roster/heard.go
+++ b/internal/roster/heard.go
@@ -12,12 +12,12 @@
 // longer than servers pause, so that who speaks on is told in a few bytes.
 const rememberFor = time.Minute
 
-// Heard holds what backend servers that take new work have announced to a control host,
+// AnnouncementForwarder holds what backend servers that take new work have announced to a control host,
 // until the leader is told. A server that says what it has said before is told as its key
 // and a number. Were all announcements sent to the leader, 245 servers would be 200 calls
 // a second to it, 0.04 of a core, while eight other hosts have next to nothing to do. All
 // methods are safe from any goroutine.
-type Heard struct {
+type AnnouncementForwarder struct {
 	now func() time.Time
 
 	mu sync.Mutex
@@ -33,14 +33,14 @@
 	due, told bool
 }
 
-// NewHeard returns a Heard that has heard nobody.
-func NewHeard(now func() time.Time) *Heard {
-	return &Heard{now: now, servers: map[string]*heardServer{}}
+// NewAnnouncementForwarder returns a Heard that has heard nobody.
+func NewAnnouncementForwarder(now func() time.Time) *AnnouncementForwarder {
+	return &AnnouncementForwarder{now: now, servers: map[string]*heardServer{}}
 }
 
-// Announce takes in the announcement of a server that takes new work. It reports whether
+// Add takes in the announcement of a server that takes new work. It reports whether
 // it says something new.
-func (h *Heard) Announce(a Announcement) bool {
+func (h *AnnouncementForwarder) Add(a Announcement) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := h.servers[a.ID]
@@ -59,12 +59,12 @@
 // saysAs reports whether two announcements differ by their numbers at most.
 func (a *Announcement) saysAs(b *Announcement) bool {
 	return a.Pool == b.Pool && a.Address == b.Address && a.DataCentre == b.DataCentre && a.Slots == b.Slots &&
-		sameModels(a.Held, b.Held) && slices.Equal(a.InMemory, b.InMemory) && slices.Equal(a.OnDisk, b.OnDisk)
+		sameModels(a.Loaded, b.Loaded) && slices.Equal(a.InMemory, b.InMemory) && slices.Equal(a.OnDisk, b.OnDisk)
 }
 
-// Begin has everything told anew that is not older than a server's time between two
+// Reset has everything told anew that is not older than a server's time between two
 // announcements: another leader knows nothing of it.
-func (h *Heard) Begin(every time.Duration) {
+func (h *AnnouncementForwarder) Reset(every time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range h.servers {
@@ -73,8 +73,8 @@
 	}
 }
 
-// News returns what the leader has not been told.
-func (h *Heard) News() []*schema.HeardServer {
+// TakePending returns what the leader has not been told.
+func (h *AnnouncementForwarder) TakePending() []*schema.HeardServer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
@@ -99,14 +99,14 @@
 func (a *Announcement) word() *schema.ServerWord {
 	return &schema.ServerWord{
 		Pool: a.Pool, Address: a.Address, DataCentre: a.DataCentre, Slots: uint32(a.Slots),
-		Held: a.Held, InMemory: a.InMemory, OnDisk: a.OnDisk,
+		Held: a.Loaded, InMemory: a.InMemory, OnDisk: a.OnDisk,
 	}
 }
 
-// HeardReader is the other end of a Heard, at the leader: it makes whole announcements of
+// AnnouncementReader is the other end of a Heard, at the leader: it makes whole announcements of
 // what one control host tells on one stream. It belongs to one goroutine. The zero value
 // is ready for use.
-type HeardReader struct {
+type AnnouncementReader struct {
 	// last are the servers' announcements as they were told last, by incarnation.
 	last map[string]Announcement
 	// swept is when those were last forgotten that are told no more.
@@ -115,18 +115,18 @@
 
 // Read returns the announcement that a word of the host stands for; false where it says
 // only that a server speaks on which was never told of.
-func (r *HeardReader) Read(h *schema.HeardServer, now time.Time) (Announcement, bool) {
+func (r *AnnouncementReader) Read(h *schema.HeardServer, now time.Time) (Announcement, bool) {
 	r.sweep(now)
 	a, known := r.last[h.GetId()]
 	if w := h.GetWord(); w != nil {
 		a = Announcement{
 			ID: h.GetId(), Pool: w.GetPool(), Address: w.GetAddress(), DataCentre: w.GetDataCentre(), Slots: int(w.GetSlots()),
-			Held: w.GetHeld(), InMemory: w.GetInMemory(), OnDisk: w.GetOnDisk(),
+			Loaded: w.GetHeld(), InMemory: w.GetInMemory(), OnDisk: w.GetOnDisk(),
 		}
 	} else if !known {
 		return Announcement{}, false
 	}
-	a.Sequence, a.Said = h.GetSequence(), now.Add(-time.Duration(h.GetAgeMs())*time.Millisecond)
+	a.Sequence, a.Received = h.GetSequence(), now.Add(-time.Duration(h.GetAgeMs())*time.Millisecond)
 	if r.last == nil {
 		r.last = map[string]Announcement{}
 	}
@@ -135,13 +135,13 @@
 }
 
 // sweep forgets servers later than the host does, which then tells of them anew.
-func (r *HeardReader) sweep(now time.Time) {
+func (r *AnnouncementReader) sweep(now time.Time) {
 	if now.Sub(r.swept) < rememberFor {
 		return
 	}
 	r.swept = now
 	for id, a := range r.last {
-		if now.Sub(a.Said) > 2*rememberFor {
+		if now.Sub(a.Received) > 2*rememberFor {
 			delete(r.last, id)
 		}
 	}
--- a/internal/roster/hosts.go
+++ b/internal/roster/hosts.go
@@ -51,7 +51,7 @@
 	// loads is what these have at the engines.
 	loads []*schema.EngineLoad
 	// told is how far the host and its entries have been told, by their own word.
-	told Told
+	told Progress
 	// behind names entries that are told no further than told.
 	behind []string
 	// count is how many entries were logged last, and counted when.
@@ -59,8 +59,8 @@
 	counted time.Time
 }
 
-// Follow notes that a control host speaks on a stream; stream numbers grow.
-func (r *Roster) Follow(stream uint64, host *schema.ControlHost) {
+// HostConnected notes that a control host speaks on a stream; stream numbers grow.
+func (r *Roster) HostConnected(stream uint64, host *schema.ControlHost) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f := &following{host: host, heard: r.cfg.Now(), stream: stream}
@@ -81,9 +81,9 @@
 	return nil
 }
 
-// Hear takes in a control host's word in a term. What it says of another term's roster
+// UpdateHost takes in a control host's word in a term. What it says of another term's roster
 // counts for nothing.
-func (r *Roster) Hear(stream uint64, host string, term uint64, news *schema.HostNews) {
+func (r *Roster) UpdateHost(stream uint64, host string, term uint64, news *schema.HostNews) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f := r.present(stream, host)
@@ -95,7 +95,7 @@
 		f.silent = false
 		r.cfg.Log.Info("host state", "host", host, "silent", false)
 	}
-	f.told = Told{Revision: news.GetRevision()}
+	f.told = Progress{Revision: news.GetRevision()}
 	if known := PositionOf(news.GetKnown()); known.Term == term {
 		f.told.Change = known.Change
 	}
@@ -118,25 +118,25 @@
 	}
 }
 
-// Silent reports whether a host's stream has been silent for too long: it is ended, so
+// HostSilent reports whether a host's stream has been silent for too long: it is ended, so
 // that a host which hears and is not heard does not take itself for one that is.
-func (r *Roster) Silent(stream uint64, host string) bool {
+func (r *Roster) HostSilent(stream uint64, host string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f := r.present(stream, host)
 	return f == nil || f.silent
 }
 
-// Lagging reports whether a host has said that it tells entries nothing.
-func (r *Roster) Lagging(stream uint64, host string) bool {
+// HostLagging reports whether a host has said that it tells entries nothing.
+func (r *Roster) HostLagging(stream uint64, host string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f := r.present(stream, host)
 	return f != nil && f.lagging
 }
 
-// Unfollow notes the end of a control host's stream.
-func (r *Roster) Unfollow(stream uint64, host string) {
+// HostDisconnected notes the end of a control host's stream.
+func (r *Roster) HostDisconnected(stream uint64, host string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if f := r.present(stream, host); f != nil && !f.silent {
@@ -171,10 +171,10 @@
 	}
 }
 
-// News returns what changed after a change number, as a word without a term and without
+// UpdateSince returns what changed after a change number, as a word without a term and without
 // what somebody asked for. All of it is of one moment: a list that changed between two
 // looks would count as told and never be.
-func (r *Roster) News(after uint64) *schema.LeaderNews {
+func (r *Roster) UpdateSince(after uint64) *schema.LeaderNews {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	servers, change := r.since(after)
@@ -207,8 +207,8 @@
 	}
 }
 
-// Runs reports whether any entry has requests for a model at an engine.
-func (r *Roster) Runs(server, model string) bool {
+// HasRequests reports whether any entry has requests for a model at an engine.
+func (r *Roster) HasRequests(server, model string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.runs[run{server, model}] > 0
--- a/internal/roster/hosts_test.go
+++ b/internal/roster/hosts_test.go
@@ -39,7 +39,7 @@
 func directory(r *roster.Roster) []string {
 	r.SweepHosts()
 	out := []string{}
-	for _, e := range r.News(0).GetEntries().GetEntries() {
+	for _, e := range r.UpdateSince(0).GetEntries().GetEntries() {
 		out = append(out, e.GetHost())
 	}
 	return out
@@ -47,7 +47,7 @@
 
 func listedHosts(r *roster.Roster) []*schema.ControlHost {
 	r.SweepHosts()
-	return r.News(0).GetHosts().GetHosts()
+	return r.UpdateSince(0).GetHosts().GetHosts()
 }
 
 // led returns the roster of a leader that has led for some time.
@@ -61,14 +61,14 @@
 // Callers are sent to the entries of all hosts, but for those that prepare to stop.
 func TestDirectoryHoldsTheEntriesOfAllHosts(t *testing.T) {
 	r, _ := led()
-	r.Follow(1, controlHost("h1"))
-	r.Follow(2, controlHost("h2"))
-	r.Hear(1, "h1", term, attend("e1", "e2"))
-	r.Hear(2, "h2", term, attend("e3"))
+	r.HostConnected(1, controlHost("h1"))
+	r.HostConnected(2, controlHost("h2"))
+	r.UpdateHost(1, "h1", term, attend("e1", "e2"))
+	r.UpdateHost(2, "h2", term, attend("e3"))
 	require.Equal(t, []string{"e1", "e2", "e3"}, directory(r))
 	stopping := attend("e1", "e2")
 	stopping.Entries[1].Stopping = true
-	r.Hear(1, "h1", term, stopping)
+	r.UpdateHost(1, "h1", term, stopping)
 	require.Equal(t, []string{"e1", "e3"}, directory(r))
 }
 
@@ -77,18 +77,18 @@
 // others whenever a control host restarts. An entry that ended with it goes in the end.
 func TestEntriesOfALostHostStayInTheDirectoryForAWhile(t *testing.T) {
 	r, c := led()
-	r.Follow(1, controlHost("h1"))
-	r.Follow(2, controlHost("h2"))
-	r.Hear(1, "h1", term, attend("e1", "e2"))
-	r.Unfollow(1, "h1")
+	r.HostConnected(1, controlHost("h1"))
+	r.HostConnected(2, controlHost("h2"))
+	r.UpdateHost(1, "h1", term, attend("e1", "e2"))
+	r.HostDisconnected(1, "h1")
 	require.Equal(t, []string{"e1", "e2"}, directory(r))
-	r.Hear(2, "h2", term, attend("e1"))
+	r.UpdateHost(2, "h2", term, attend("e1"))
 	c.now = c.now.Add(3 * time.Second)
-	r.Hear(2, "h2", term, &schema.HostNews{})
+	r.UpdateHost(2, "h2", term, &schema.HostNews{})
 	r.SweepHosts()
 	require.Equal(t, []string{"e1", "e2"}, directory(r))
 	c.now = c.now.Add(time.Second)
-	r.Hear(2, "h2", term, &schema.HostNews{})
+	r.UpdateHost(2, "h2", term, &schema.HostNews{})
 	r.SweepHosts()
 	require.Equal(t, []string{"e1"}, directory(r))
 }
@@ -98,12 +98,12 @@
 // the earlier one speaks for it.
 func TestEntryAtTwoHostsIsBelievedAtTheLater(t *testing.T) {
 	r, _ := led()
-	r.Follow(1, controlHost("h1"))
-	r.Follow(2, controlHost("h2"))
+	r.HostConnected(1, controlHost("h1"))
+	r.HostConnected(2, controlHost("h2"))
 	moved := attend("e1")
 	moved.Entries[0].Stream, moved.Entries[0].Stopping = 2, true
-	r.Hear(2, "h2", term, moved)
-	r.Hear(1, "h1", term, attend("e1"))
+	r.UpdateHost(2, "h2", term, moved)
+	r.UpdateHost(1, "h1", term, attend("e1"))
 	require.Empty(t, directory(r))
 }
 
@@ -112,31 +112,31 @@
 // entries would be told of 300.
 func TestEntriesThatMoveChangeNoList(t *testing.T) {
 	r, _ := led()
-	r.Follow(1, controlHost("h1"))
-	r.Follow(2, controlHost("h2"))
-	r.Hear(1, "h1", term, attend("e1", "e2"))
+	r.HostConnected(1, controlHost("h1"))
+	r.HostConnected(2, controlHost("h2"))
+	r.UpdateHost(1, "h1", term, attend("e1", "e2"))
 	require.Equal(t, []string{"e1", "e2"}, directory(r))
-	_, change := r.Since(0)
-	r.Hear(2, "h2", term, attend("e1"))
-	r.Hear(1, "h1", term, attend("e2"))
-	r.Hear(2, "h2", term, attend("e1", "e2"))
-	r.Hear(1, "h1", term, attend())
+	_, change := r.ServersSince(0)
+	r.UpdateHost(2, "h2", term, attend("e1"))
+	r.UpdateHost(1, "h1", term, attend("e2"))
+	r.UpdateHost(2, "h2", term, attend("e1", "e2"))
+	r.UpdateHost(1, "h1", term, attend())
 	r.SweepHosts()
-	require.Nil(t, r.News(change).GetEntries())
-	r.Hear(2, "h2", term, attend("e1"))
+	require.Nil(t, r.UpdateSince(change).GetEntries())
+	r.UpdateHost(2, "h2", term, attend("e1"))
 	r.SweepHosts()
-	require.Len(t, r.News(change).GetEntries().GetEntries(), 1)
+	require.Len(t, r.UpdateSince(change).GetEntries().GetEntries(), 1)
 }
 
 // A host's stream is renewed before its old one is noticed to have ended; the end of the
 // old one must not take its entries out of what counts.
 func TestEndOfAHostsOlderStreamChangesNothing(t *testing.T) {
 	r, _ := led()
-	r.Follow(1, controlHost("h1"))
-	r.Follow(2, controlHost("h1"))
-	r.Unfollow(1, "h1")
+	r.HostConnected(1, controlHost("h1"))
+	r.HostConnected(2, controlHost("h1"))
+	r.HostDisconnected(1, "h1")
 	require.Len(t, listedHosts(r), 1)
-	r.Unfollow(2, "h1")
+	r.HostDisconnected(2, "h1")
 	require.Empty(t, listedHosts(r))
 }
 
@@ -144,21 +144,21 @@
 // send all callers to the entries of that one.
 func TestNewLeaderTellsNoListBeforeItCanKnow(t *testing.T) {
 	r, c := newRoster()
-	r.Follow(1, controlHost("h1"))
-	r.Hear(1, "h1", term, attend("e1"))
-	_, change := r.Since(0)
-	require.Nil(t, r.News(0).GetEntries())
-	require.Nil(t, r.News(0).GetHosts())
+	r.HostConnected(1, controlHost("h1"))
+	r.UpdateHost(1, "h1", term, attend("e1"))
+	_, change := r.ServersSince(0)
+	require.Nil(t, r.UpdateSince(0).GetEntries())
+	require.Nil(t, r.UpdateSince(0).GetHosts())
 	r.SweepHosts()
-	require.Nil(t, r.News(0).GetEntries())
+	require.Nil(t, r.UpdateSince(0).GetEntries())
 	c.now = c.now.Add(1100 * time.Millisecond)
-	r.Hear(1, "h1", term, &schema.HostNews{})
+	r.UpdateHost(1, "h1", term, &schema.HostNews{})
 	r.SweepHosts()
 	// Also to a host that has been told all changes until then.
-	news := r.News(change)
+	news := r.UpdateSince(change)
 	require.Len(t, news.GetEntries().GetEntries(), 1)
 	require.Len(t, news.GetHosts().GetHosts(), 1)
-	require.Nil(t, r.News(news.GetKnown().GetChange()).GetEntries())
+	require.Nil(t, r.UpdateSince(news.GetKnown().GetChange()).GetEntries())
 }
 
 // Where there are enough others, entries are not sent to the leader: what 33 of them say
@@ -167,7 +167,7 @@
 	for hosts, listed := range map[int]int{1: 1, 3: 3, 5: 5, 6: 5, 9: 8} {
 		r, _ := led()
 		for i := range hosts {
-			r.Follow(uint64(i+1), controlHost(fmt.Sprint("h", i)))
+			r.HostConnected(uint64(i+1), controlHost(fmt.Sprint("h", i)))
 		}
 		list := listedHosts(r)
 		require.Len(t, list, listed)
@@ -179,23 +179,23 @@
 // there; the end of the host's stream ends its word.
 func TestRunsOfAllHosts(t *testing.T) {
 	r, _ := newRoster()
-	r.Follow(1, controlHost("h1"))
-	r.Follow(2, controlHost("h2"))
+	r.HostConnected(1, controlHost("h1"))
+	r.HostConnected(2, controlHost("h2"))
 	load := func(stream uint64, host, model string) {
 		n := &schema.HostNews{LoadsTold: true}
 		if model != "" {
 			n.Loads = []*schema.EngineLoad{{Server: "s", Models: []string{model}}}
 		}
-		r.Hear(stream, host, term, n)
+		r.UpdateHost(stream, host, term, n)
 	}
 	load(1, "h1", "a")
 	load(2, "h2", "b")
-	require.True(t, r.Runs("s", "a"))
-	require.True(t, r.Runs("s", "b"))
+	require.True(t, r.HasRequests("s", "a"))
+	require.True(t, r.HasRequests("s", "b"))
 	load(2, "h2", "")
-	require.False(t, r.Runs("s", "b"))
-	r.Unfollow(1, "h1")
-	require.False(t, r.Runs("s", "a"))
+	require.False(t, r.HasRequests("s", "b"))
+	r.HostDisconnected(1, "h1")
+	require.False(t, r.HasRequests("s", "a"))
 }
 
 // A server leaves while one host, or an entry of it, has not been told. Were its word
@@ -205,45 +205,45 @@
 	synctest.Test(t, func(t *testing.T) {
 		r, c := newRoster()
 		require.True(t, r.Announce(word("s", "a:1", 1)))
-		r.Follow(1, controlHost("h1"))
-		r.Follow(2, controlHost("h2"))
+		r.HostConnected(1, controlHost("h1"))
+		r.HostConnected(2, controlHost("h2"))
 		change := r.Depart("s")
-		far := roster.Told{Change: change}
+		far := roster.Progress{Change: change}
 		await := func() chan error {
 			done := make(chan error, 1)
-			go func() { done <- r.AwaitTold(context.Background(), far) }()
+			go func() { done <- r.AwaitAcked(context.Background(), far) }()
 			time.Sleep(50 * time.Millisecond)
 			synctest.Wait()
 			return done
 		}
-		r.Hear(1, "h1", term, told(change))
-		r.Hear(2, "h2", term, told(change-1, "e7"))
+		r.UpdateHost(1, "h1", term, told(change))
+		r.UpdateHost(2, "h2", term, told(change-1, "e7"))
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		require.ErrorContains(t, r.AwaitTold(ctx, far), "h2 e7")
+		require.ErrorContains(t, r.AwaitAcked(ctx, far), "h2 e7")
 		// A host knows the number from another leader: it says nothing of this one's.
 		other := told(change + 9)
 		other.Known.Term = term - 1
-		r.Hear(2, "h2", term, other)
+		r.UpdateHost(2, "h2", term, other)
 		done := await()
 		require.Empty(t, done)
-		r.Hear(2, "h2", term, told(change))
+		r.UpdateHost(2, "h2", term, told(change))
 		require.NoError(t, <-done)
 
-		r.Follow(3, controlHost("h3"))
+		r.HostConnected(3, controlHost("h3"))
 		done = await()
 		require.Empty(t, done)
 		lagging := told(0)
 		lagging.Lagging = true
-		r.Hear(3, "h3", term, lagging)
+		r.UpdateHost(3, "h3", term, lagging)
 		require.NoError(t, <-done)
 
-		r.Hear(3, "h3", term, told(0))
+		r.UpdateHost(3, "h3", term, told(0))
 		done = await()
 		require.Empty(t, done)
 		c.now = c.now.Add(2 * time.Second)
-		r.Hear(1, "h1", term, told(change))
-		r.Hear(2, "h2", term, told(change))
+		r.UpdateHost(1, "h1", term, told(change))
+		r.UpdateHost(2, "h2", term, told(change))
 		r.SweepHosts()
 		require.NoError(t, <-done)
 	})
--- a/internal/roster/mirror.go
+++ b/internal/roster/mirror.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Take takes in a word of the leader. It returns false for one of an earlier term.
-func (m *Mirror) Take(news *schema.LeaderNews) bool {
+// Apply takes in a word of the leader. It returns false for one of an earlier term.
+func (m *Mirror) Apply(news *schema.LeaderNews) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at := PositionOf(news.GetKnown())
@@ -169,7 +169,7 @@
 func (m *Mirror) add(s *mirrored) {
 	m.servers[s.view.GetId()] = s
 	s.place = m.recent.PushBack(s)
-	if name := incarnation.Parse(s.view.GetId()); name.Born != 0 && s.gone.IsZero() {
+	if name := incarnation.Parse(s.view.GetId()); name.StartMs != 0 && s.gone.IsZero() {
 		m.started[name.Server]++
 	}
 }
@@ -178,7 +178,7 @@
 func (m *Mirror) remove(s *mirrored) {
 	delete(m.servers, s.view.GetId())
 	m.recent.Remove(s.place)
-	if name := incarnation.Parse(s.view.GetId()); name.Born != 0 && s.gone.IsZero() {
+	if name := incarnation.Parse(s.view.GetId()); name.StartMs != 0 && s.gone.IsZero() {
 		if m.started[name.Server]--; m.started[name.Server] == 0 {
 			delete(m.started, name.Server)
 		}
@@ -281,9 +281,9 @@
 	return news
 }
 
-// Brings reports whether a server that somebody does not know who knows the roster so
+// HasTargetSince reports whether a server that somebody does not know who knows the roster so
 // far holds one of some targets.
-func (m *Mirror) Brings(p Position, wants []*schema.ModelDemand) bool {
+func (m *Mirror) HasTargetSince(p Position, wants []*schema.ModelDemand) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.ContainsFunc(m.changedAfter(p), func(v *schema.RosterServer) bool { return holdsAny(v, wants) })
@@ -310,11 +310,11 @@
 	return out
 }
 
-// LacksStart reports whether a key names no start of a server that tells its starts, as far
+// LacksStartTime reports whether a key names no start of a server that tells its starts, as far
 // as the leader has said: see Roster.LacksStart.
-func (m *Mirror) LacksStart(id string) bool {
+func (m *Mirror) LacksStartTime(id string) bool {
 	name := incarnation.Parse(id)
-	if name.Born != 0 {
+	if name.StartMs != 0 {
 		return false
 	}
 	m.mu.Lock()
@@ -336,23 +336,23 @@
 	return m.changed
 }
 
-// Answered returns a channel that is closed when the next forecasts come.
-func (m *Mirror) Answered() <-chan struct{} {
+// ForecastsUpdated returns a channel that is closed when the next forecasts come.
+func (m *Mirror) ForecastsUpdated() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.answered
 }
 
-// At returns how far the leader's roster is known.
-func (m *Mirror) At() Position {
+// Position returns how far the leader's roster is known.
+func (m *Mirror) Position() Position {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.at
 }
 
-// Unawaited reports whether the leader, by its last word, does not wait until this host's
+// MarkedLagging reports whether the leader, by its last word, does not wait until this host's
 // entries are told.
-func (m *Mirror) Unawaited() bool {
+func (m *Mirror) MarkedLagging() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.unawaited
@@ -383,9 +383,9 @@
 	return m.uses
 }
 
-// Heard returns when the leader was last known to lead, the zero time for never, and what its log had
+// LeaderLastSeen returns when the leader was last known to lead, the zero time for never, and what its log had
 // applied by then.
-func (m *Mirror) Heard() (at time.Time, revision uint64) {
+func (m *Mirror) LeaderLastSeen() (at time.Time, revision uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.heard, m.revision
--- a/internal/roster/mirror_test.go
+++ b/internal/roster/mirror_test.go
@@ -62,18 +62,18 @@
 	a, _ := newMirror()
 	b, _ := newMirror()
 	for _, m := range []*roster.Mirror{a, b} {
-		m.Take(says(1, 10, server("s1", ready), server("s2", ready), server("s3", ready)))
+		m.Apply(says(1, 10, server("s1", ready), server("s2", ready), server("s3", ready)))
 	}
 	e := newEntryOf()
 	require.Equal(t, 3, e.hear(a))
-	a.Take(says(1, 20, server("s1", leaving)))
-	b.Take(says(1, 12, server("s2", leaving)))
+	a.Apply(says(1, 20, server("s1", leaving)))
+	b.Apply(says(1, 12, server("s2", leaving)))
 	require.Equal(t, 1, e.hear(a))
 	require.Zero(t, e.hear(b))
 	require.Equal(t, roster.Position{Term: 1, Change: 20}, e.at)
-	b.Take(says(1, 25, server("s1", leaving)))
+	b.Apply(says(1, 25, server("s1", leaving)))
 	require.Equal(t, 1, e.hear(b))
-	a.Take(says(1, 26, server("s2", leaving)))
+	a.Apply(says(1, 26, server("s2", leaving)))
 	require.Equal(t, 1, e.hear(a))
 	require.Equal(t, map[string]schema.RosterState{"s1": leaving, "s2": leaving, "s3": ready}, e.servers)
 }
@@ -83,15 +83,15 @@
 func TestChangeOfLeaderTellsEntriesTheDifference(t *testing.T) {
 	m, _ := newMirror()
 	e := newEntryOf()
-	m.Take(says(1, 90, server("s1", ready, "m"), server("s2", ready), server("s3", ready)))
+	m.Apply(says(1, 90, server("s1", ready, "m"), server("s2", ready), server("s3", ready)))
 	require.Equal(t, 3, e.hear(m))
 	// Numbers of another leader begin anew.
-	m.Take(says(2, 5, server("s1", ready, "m"), server("s2", leaving)))
+	m.Apply(says(2, 5, server("s1", ready, "m"), server("s2", leaving)))
 	require.Equal(t, 1, e.hear(m))
 	require.Equal(t, ready, e.servers["s3"])
 	settled := says(2, 6)
 	settled.Settled = true
-	m.Take(settled)
+	m.Apply(settled)
 	require.Equal(t, 1, e.hear(m))
 	require.Equal(t, map[string]schema.RosterState{"s1": ready, "s2": leaving, "s3": gone}, e.servers)
 }
@@ -99,11 +99,11 @@
 // A word of an earlier leader comes late: it is not taken.
 func TestMirrorTakesNoEarlierLeadersWord(t *testing.T) {
 	m, c := newMirror()
-	require.True(t, m.Take(says(2, 1, server("s", leaving))))
-	heard, _ := m.Heard()
+	require.True(t, m.Apply(says(2, 1, server("s", leaving))))
+	heard, _ := m.LeaderLastSeen()
 	c.now = c.now.Add(time.Second)
-	require.False(t, m.Take(says(1, 99, server("s", ready))))
-	at, _ := m.Heard()
+	require.False(t, m.Apply(says(1, 99, server("s", ready))))
+	at, _ := m.LeaderLastSeen()
 	require.Equal(t, heard, at)
 	e := newEntryOf()
 	e.hear(m)
@@ -115,10 +115,10 @@
 // of a leader that the host never followed. What it lacks can't be told; all is.
 func TestEntryIsToldAllWhereTheDifferenceIsNotKnown(t *testing.T) {
 	m, c := newMirror()
-	m.Take(says(3, 40, server("s1", ready)))
-	m.Take(says(3, 50))
-	m.Take(says(5, 7, server("s1", ready)))
-	m.Take(says(5, 9))
+	m.Apply(says(3, 40, server("s1", ready)))
+	m.Apply(says(3, 50))
+	m.Apply(says(5, 7, server("s1", ready)))
+	m.Apply(says(5, 9))
 	for _, x := range []struct {
 		at    roster.Position
 		whole bool
@@ -139,8 +139,8 @@
 	}
 	// A server that is gone for long is forgotten: who does not know that it is gone has
 	// to be told all.
-	m.Take(says(5, 11, server("s1", gone)))
-	m.Take(says(5, 12, server("s2", ready)))
+	m.Apply(says(5, 11, server("s1", gone)))
+	m.Apply(says(5, 12, server("s2", ready)))
 	c.now = c.now.Add(3 * time.Minute)
 	m.Sweep()
 	require.True(t, m.Since(roster.Position{Term: 5, Change: 10}).GetWhole())
@@ -160,12 +160,12 @@
 		}
 		return n
 	}
-	m.Take(lists(1, 4, "e1"))
+	m.Apply(lists(1, 4, "e1"))
 	require.Len(t, m.Since(roster.Position{Term: 1, Change: 4}).GetEntries().GetEntries(), 0)
 	require.Len(t, m.Since(roster.Position{}).GetEntries().GetEntries(), 1)
-	m.Take(lists(2, 3, "e1"))
+	m.Apply(lists(2, 3, "e1"))
 	require.Nil(t, m.Since(roster.Position{Term: 1, Change: 4}).GetEntries())
-	m.Take(lists(2, 4, "e1", "e2"))
+	m.Apply(lists(2, 4, "e1", "e2"))
 	require.Len(t, m.Since(roster.Position{Term: 1, Change: 4}).GetEntries().GetEntries(), 2)
 }
 
@@ -176,8 +176,8 @@
 	want := []*schema.ModelDemand{{Pool: "p", Model: "m"}}
 	news := says(1, 1)
 	news.Forecasts = []*schema.LoadForecast{{Pool: "p", Model: "m", ReadyInMs: 900}, {Pool: "p", Model: "n", ReadyInMs: -1}}
-	answered := m.Answered()
-	m.Take(news)
+	answered := m.ForecastsUpdated()
+	m.Apply(news)
 	<-answered
 	asked := c.now
 	c.now = c.now.Add(300 * time.Millisecond)
@@ -194,13 +194,13 @@
 // for them. They are told how far they know the roster all the same, at once.
 func TestPositionIsToldWhereSomebodyWaits(t *testing.T) {
 	m, _ := newMirror()
-	m.Take(says(1, 1, server("s", ready)))
+	m.Apply(says(1, 1, server("s", ready)))
 	changed := m.Changed()
-	m.Take(says(1, 2, server("s", ready)))
+	m.Apply(says(1, 2, server("s", ready)))
 	require.Equal(t, changed, m.Changed())
 	awaited := says(1, 3)
 	awaited.Confirm = true
-	m.Take(awaited)
+	m.Apply(awaited)
 	<-changed
 	require.True(t, m.Since(roster.Position{Term: 1, Change: 1}).GetConfirm())
 }
--- a/internal/roster/position.go
+++ b/internal/roster/position.go
@@ -8,8 +8,8 @@
 	Term, Change uint64
 }
 
-// Furthest is further than any roster comes.
-var Furthest = Position{Term: ^uint64(0), Change: ^uint64(0)}
+// MaxPosition is further than any roster comes.
+var MaxPosition = Position{Term: ^uint64(0), Change: ^uint64(0)}
 
 // PositionOf returns a position that was told.
 func PositionOf(m *schema.RosterPosition) Position { return Position{m.GetTerm(), m.GetChange()} }
--- a/internal/roster/recall_test.go
+++ b/internal/roster/recall_test.go
@@ -12,7 +12,7 @@
 // to the dead server for a second more.
 func TestRecalledServerGivesWayAtOnce(t *testing.T) {
 	r, c := newRoster()
-	require.True(t, r.Recall(word("old", "a:1", 0)))
+	require.True(t, r.Restore(word("old", "a:1", 0)))
 	require.True(t, r.Ready("old"))
 	c.now = c.now.Add(every / 4)
 	require.True(t, r.Announce(word("new", "a:1", 1)))
@@ -25,17 +25,17 @@
 func TestRecallChangesNothingThatWasHeard(t *testing.T) {
 	r, _ := newRoster("left")
 	require.True(t, r.Announce(word("i", "a:1", 7)))
-	require.False(t, r.Recall(word("i", "b:1", 0)))
-	require.Equal(t, "a:1", r.Known()["i"].GetAddress())
-	r.Recall(word("left", "c:1", 0))
+	require.False(t, r.Restore(word("i", "b:1", 0)))
+	require.Equal(t, "a:1", r.ReadyServers()["i"].GetAddress())
+	r.Restore(word("left", "c:1", 0))
 	require.False(t, r.Ready("left"))
-	require.Len(t, r.Known(), 1)
+	require.Len(t, r.ReadyServers(), 1)
 }
 
 // A recorded server that is never heard of is given up sooner than one that spoke.
 func TestRecalledServerThatIsSilent(t *testing.T) {
 	r, c := newRoster()
-	r.Recall(word("i", "a:1", 0))
+	r.Restore(word("i", "a:1", 0))
 	c.now = c.now.Add(3 * every)
 	r.Sweep()
 	require.False(t, r.Ready("i"))
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -41,21 +41,21 @@
 	Leaving bool
 	// Sequence grows with each announcement of an incarnation.
 	Sequence uint64
-	// Held are the models in an engine's accelerator memory.
-	Held []*schema.HeldModel
+	// Loaded are the models in an engine's accelerator memory.
+	Loaded []*schema.HeldModel
 	// InMemory and OnDisk name the models whose weights the engine has a copy of.
 	InMemory []string
 	OnDisk   []string
-	// Said is when a control host heard it; the zero value: now.
-	Said time.Time
+	// Received is when a control host heard it; the zero value: now.
+	Received time.Time
 }
 
-// At returns when an announcement that is taken in now was heard.
-func (a *Announcement) At(now time.Time) time.Time {
-	if a.Said.IsZero() {
+// ReceivedAt returns when an announcement that is taken in now was heard.
+func (a *Announcement) ReceivedAt(now time.Time) time.Time {
+	if a.Received.IsZero() {
 		return now
 	}
-	return a.Said
+	return a.Received
 }
 
 // Config configures a Roster. All fields are required but Self.
@@ -141,9 +141,9 @@
 	r.entries, r.hostsListed = nil, nil
 }
 
-// Begin forgets all servers: this host begins to lead, and what it heard when
+// Reset forgets all servers: this host begins to lead, and what it heard when
 // it led before may be long untrue.
-func (r *Roster) Begin() {
+func (r *Roster) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reset()
@@ -183,21 +183,21 @@
 	if s == nil {
 		s = &server{}
 		r.servers[a.ID] = s
-		view.Models = a.Held
+		view.Models = a.Loaded
 		r.cfg.Log.Info("server heard", "server", a.ID, "pool", a.Pool, "address", a.Address, "state", state.String(),
 			"sequence", a.Sequence)
 	} else {
 		view.Models = s.view.GetModels()
 	}
-	s.sequence, s.heard = a.Sequence, a.At(r.cfg.Now())
+	s.sequence, s.heard = a.Sequence, a.ReceivedAt(r.cfg.Now())
 	r.setView(s, view)
 	return true
 }
 
-// Recall takes in a server that an earlier leader recorded and that has not been heard
+// Restore takes in a server that an earlier leader recorded and that has not been heard
 // yet. One that announces itself at the same address takes its place at once. It
 // returns false where the server is known.
-func (r *Roster) Recall(a Announcement) bool {
+func (r *Roster) Restore(a Announcement) bool {
 	// No word of a server that is known is older.
 	a.Sequence = 0
 	if r.knowsOther(a.ID) || !r.Announce(a) {
@@ -219,9 +219,9 @@
 	return h != nil && h.id != id
 }
 
-// Known returns the servers that take new work, as they are recorded for the next
+// ReadyServers returns the servers that take new work, as they are recorded for the next
 // leader.
-func (r *Roster) Known() map[string]*schema.KnownServer {
+func (r *Roster) ReadyServers() map[string]*schema.KnownServer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := map[string]*schema.KnownServer{}
@@ -336,8 +336,8 @@
 	return s.change
 }
 
-// Hold records which models an engine holds ready.
-func (r *Roster) Hold(id string, models []*schema.HeldModel) {
+// SetModels records which models an engine holds ready.
+func (r *Roster) SetModels(id string, models []*schema.HeldModel) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.servers[id]
@@ -385,9 +385,9 @@
 
 func (r *Roster) settled() bool { return r.cfg.Now().Sub(r.began) > settleBeats*r.cfg.AnnounceEvery }
 
-// Since returns the servers that changed after a change number, and the number
+// ServersSince returns the servers that changed after a change number, and the number
 // that the answer leads to.
-func (r *Roster) Since(after uint64) ([]*schema.RosterServer, uint64) {
+func (r *Roster) ServersSince(after uint64) ([]*schema.RosterServer, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.since(after)
@@ -403,9 +403,9 @@
 	return out, r.change
 }
 
-// Brings reports whether a server that changed after a change number holds one of
+// HasTargetSince reports whether a server that changed after a change number holds one of
 // some targets.
-func (r *Roster) Brings(after uint64, wants []*schema.ModelDemand) bool {
+func (r *Roster) HasTargetSince(after uint64, wants []*schema.ModelDemand) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
--- a/internal/roster/roster_test.go
+++ b/internal/roster/roster_test.go
@@ -87,11 +87,11 @@
 func TestSilentServerIsGoneAndComesBack(t *testing.T) {
 	r, c := newRoster()
 	require.True(t, r.Announce(word("s", "a:1", 1)))
-	_, seen := r.Since(0)
+	_, seen := r.ServersSince(0)
 	c.now = c.now.Add(5 * every)
 	r.Sweep()
 	require.False(t, r.Ready("s"))
-	views, _ := r.Since(seen)
+	views, _ := r.ServersSince(seen)
 	require.Len(t, views, 1)
 	require.Equal(t, schema.RosterState_ROSTER_STATE_GONE, views[0].GetState())
 	require.True(t, r.Announce(word("s", "a:1", 2)))
@@ -104,7 +104,7 @@
 func TestDepartureOfAServerThatWasNotHeard(t *testing.T) {
 	r, _ := newRoster()
 	require.Positive(t, r.Depart("s"))
-	views, _ := r.Since(0)
+	views, _ := r.ServersSince(0)
 	require.Len(t, views, 1)
 	require.Equal(t, schema.RosterState_ROSTER_STATE_GONE, views[0].GetState())
 	require.False(t, r.Ready("s"))
--- a/internal/roster/starts.go
+++ b/internal/roster/starts.go
@@ -36,10 +36,10 @@
 		return true
 	case h.id == a.ID:
 		return true
-	case name.Born == 0:
+	case name.StartMs == 0:
 		// Not the server's own: see LacksStart.
 		return false
-	case incarnation.Parse(h.id).Born > name.Born:
+	case incarnation.Parse(h.id).StartMs > name.StartMs:
 		if r.speaks(h.id) {
 			r.cfg.Log.Info("announcement of an earlier start", "server", a.ID, "present", h.id, "sequence", a.Sequence)
 			return false
@@ -51,17 +51,17 @@
 	return true
 }
 
-// LacksStart reports whether a key names no start of a server that tells its starts: the
+// LacksStartTime reports whether a key names no start of a server that tells its starts: the
 // word that it came with is somebody else's.
-func (r *Roster) LacksStart(id string) bool {
+func (r *Roster) LacksStartTime(id string) bool {
 	name := incarnation.Parse(id)
-	if name.Born != 0 {
+	if name.StartMs != 0 {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h := r.starts[name.Server]
-	return h != nil && incarnation.Parse(h.id).Born != 0
+	return h != nil && incarnation.Parse(h.id).StartMs != 0
 }
 
 // endStart puts a start in the place of the one believed to live.
@@ -76,9 +76,9 @@
 	}
 }
 
-// Ending returns the key of the start that a server means that says that it ends, as
+// EndingIncarnation returns the key of the start that a server means that says that it ends, as
 // far as is known: the server's id where none is.
-func (r *Roster) Ending(server string) string {
+func (r *Roster) EndingIncarnation(server string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h := r.starts[server]
--- a/internal/roster/told.go
+++ b/internal/roster/told.go
@@ -9,23 +9,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Told is how far a control host and all entries that attend it have been told of what
+// Progress is how far a control host and all entries that attend it have been told of what
 // the leader knows.
-type Told struct {
+type Progress struct {
 	// Change is the roster's change number, Revision the ledger's.
 	Change, Revision uint64
 }
 
 // lacks reports whether somebody has not been told so far.
-func (t Told) lacks(far Told) bool { return t.Change < far.Change || t.Revision < far.Revision }
+func (t Progress) lacks(far Progress) bool { return t.Change < far.Change || t.Revision < far.Revision }
 
 // toldCheck is how often AwaitTold looks: servers leave a few times a minute, and
 // configurations change twice a second at most.
 const toldCheck = 5 * time.Millisecond
 
-// AwaitTold waits until every control host that speaks, and every entry that attends it
+// AwaitAcked waits until every control host that speaks, and every entry that attends it
 // and speaks, has been told so far.
-func (r *Roster) AwaitTold(ctx context.Context, far Told) error {
+func (r *Roster) AwaitAcked(ctx context.Context, far Progress) error {
 	ticker := time.NewTicker(toldCheck)
 	defer ticker.Stop()
 	for {
@@ -41,9 +41,9 @@
 	}
 }
 
-// Expect notes that somebody will wait until the entries have been told of a change that
+// RequestAcks notes that somebody will wait until the entries have been told of a change that
 // is about to be made, until the function returned is called.
-func (r *Roster) Expect() func() {
+func (r *Roster) RequestAcks() func() {
 	r.expect(1)
 	return func() { r.expect(-1) }
 }
@@ -56,7 +56,7 @@
 
 // behind names the hosts that speak and have not been told so far, each with entries of
 // its own that hold it back.
-func (r *Roster) behind(far Told) []string {
+func (r *Roster) behind(far Progress) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
--- a/internal/routing/budget.go
+++ b/internal/routing/budget.go
@@ -9,25 +9,25 @@
 	maxBudget        = 20
 )
 
-// Budget bounds the retries of an entry. It is safe from any goroutine.
-type Budget struct {
+// RetryBudget bounds the retries of an entry. It is safe from any goroutine.
+type RetryBudget struct {
 	mu sync.Mutex
 	// left is between 0 and maxBudget.
 	left float64
 }
 
-// NewBudget returns a full budget.
-func NewBudget() *Budget { return &Budget{left: maxBudget} }
+// NewRetryBudget returns a full budget.
+func NewRetryBudget() *RetryBudget { return &RetryBudget{left: maxBudget} }
 
-// Earn adds the share of one request.
-func (b *Budget) Earn() {
+// Deposit adds the share of one request.
+func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.left = min(b.left+budgetPerRequest, maxBudget)
 }
 
-// Spend takes one retry, or returns false when none is left.
-func (b *Budget) Spend() bool {
+// TryWithdraw takes one retry, or returns false when none is left.
+func (b *RetryBudget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.left < 1 {
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -36,19 +36,19 @@
 	Server      string
 	Incarnation uint64
 	Address     string
-	// Near is true in the entry's own data centre.
-	Near bool
+	// SameDataCentre is true in the entry's own data centre.
+	SameDataCentre bool
 	// Outstanding counts this entry's own requests at the server.
 	Outstanding int
 	// Reported is the server's last word on all its requests, minus this
 	// entry's share at that time; ReportAge is its age.
 	Reported  int
 	ReportAge time.Duration
-	// Prefix is true when the server answered a request with the same prefix.
-	Prefix bool
-	// Slowness is the server's first-byte time over that of its peers; 1 or 0
+	// PrefixMatch is true when the server answered a request with the same prefix.
+	PrefixMatch bool
+	// LatencyRatio is the server's first-byte time over that of its peers; 1 or 0
 	// when unknown.
-	Slowness float64
+	LatencyRatio float64
 }
 
 // Choose returns the index of the chosen candidate among those with less than
@@ -88,7 +88,7 @@
 		picked = append(picked, open[k])
 	}
 	for _, i := range open[size:] {
-		if candidates[i].Prefix {
+		if candidates[i].PrefixMatch {
 			return append(picked, i)
 		}
 	}
@@ -109,13 +109,13 @@
 func cost(c Candidate) float64 {
 	fresh := math.Exp2(-float64(c.ReportAge) / float64(reportHalfLife))
 	work := float64(c.Outstanding) + float64(c.Reported)*fresh
-	if c.Slowness > 1 {
-		work = (work + 1) * c.Slowness
+	if c.LatencyRatio > 1 {
+		work = (work + 1) * c.LatencyRatio
 	}
-	if !c.Near {
+	if !c.SameDataCentre {
 		work += nearPenalty
 	}
-	if c.Prefix {
+	if c.PrefixMatch {
 		work -= prefixBonus
 	}
 	return work
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -16,7 +16,7 @@
 func servers(names ...string) []routing.Candidate {
 	var out []routing.Candidate
 	for _, n := range names {
-		out = append(out, routing.Candidate{Server: n, Incarnation: 1, Near: true})
+		out = append(out, routing.Candidate{Server: n, Incarnation: 1, SameDataCentre: true})
 	}
 	return out
 }
@@ -31,12 +31,12 @@
 	}{
 		{"none", nil, 4, -1},
 		{"all full", []routing.Candidate{{Outstanding: 4}, {Outstanding: 5}}, 4, -1},
-		{"less outstanding", []routing.Candidate{{Outstanding: 3, Near: true}, {Outstanding: 1, Near: true}}, 4, 1},
-		{"near before far", []routing.Candidate{{}, {Near: true}}, 4, 1},
-		{"cached prefix", []routing.Candidate{{Near: true}, {Near: true, Outstanding: 1, Prefix: true}}, 4, 1},
-		{"fresh report counts", []routing.Candidate{{Near: true, Reported: 9}, {Near: true, Outstanding: 2}}, 4, 1},
-		{"old report does not", []routing.Candidate{{Near: true, Reported: 9, ReportAge: time.Minute}, {Near: true, Outstanding: 2}}, 4, 0},
-		{"slow server", []routing.Candidate{{Near: true, Slowness: 5}, {Near: true, Outstanding: 2}}, 4, 1},
+		{"less outstanding", []routing.Candidate{{Outstanding: 3, SameDataCentre: true}, {Outstanding: 1, SameDataCentre: true}}, 4, 1},
+		{"near before far", []routing.Candidate{{}, {SameDataCentre: true}}, 4, 1},
+		{"cached prefix", []routing.Candidate{{SameDataCentre: true}, {SameDataCentre: true, Outstanding: 1, PrefixMatch: true}}, 4, 1},
+		{"fresh report counts", []routing.Candidate{{SameDataCentre: true, Reported: 9}, {SameDataCentre: true, Outstanding: 2}}, 4, 1},
+		{"old report does not", []routing.Candidate{{SameDataCentre: true, Reported: 9, ReportAge: time.Minute}, {SameDataCentre: true, Outstanding: 2}}, 4, 0},
+		{"slow server", []routing.Candidate{{SameDataCentre: true, LatencyRatio: 5}, {SameDataCentre: true, Outstanding: 2}}, 4, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Equal(t, c.want, routing.Choose(routing.PolicyWeighted, c.candidates, c.limit, 0, random))
@@ -55,7 +55,7 @@
 		c, picked := table.Pick(now, "m", nil, candidates, 100, without(name))
 		require.True(t, picked)
 		require.Equal(t, name, c.Server)
-		table.Done(now, c, "m", nil, routing.Result{OK: ok, Reported: -1})
+		table.RecordResult(now, c, "m", nil, routing.Result{OK: ok, Reported: -1})
 	}
 	for range 3 {
 		fail("a", false)
@@ -64,7 +64,7 @@
 		c, picked := table.Pick(now, "m", nil, candidates, 100, nil)
 		require.True(t, picked)
 		require.NotEqual(t, "a", c.Server)
-		table.Done(now, c, "m", nil, routing.Result{OK: true, Reported: -1})
+		table.RecordResult(now, c, "m", nil, routing.Result{OK: true, Reported: -1})
 	}
 	assert.Equal(t, 1, table.Ejected(now))
 	now = now.Add(2 * time.Second)
@@ -87,21 +87,21 @@
 	for range 60 {
 		c, picked := table.Pick(start, "m", nil, candidates, 100, nil)
 		require.True(t, picked)
-		table.Done(start, c, "m", nil, routing.Result{Reported: -1})
+		table.RecordResult(start, c, "m", nil, routing.Result{Reported: -1})
 	}
 }
 
 func TestBudgetBoundsRetries(t *testing.T) {
-	b := routing.NewBudget()
+	b := routing.NewRetryBudget()
 	spent := 0
-	for b.Spend() {
+	for b.TryWithdraw() {
 		spent++
 	}
 	assert.Equal(t, 20, spent)
 	for range 100 {
-		b.Earn()
+		b.Deposit()
 	}
-	for b.Spend() {
+	for b.TryWithdraw() {
 		spent++
 	}
 	assert.InDelta(t, 30, spent, 1)
@@ -120,7 +120,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				c, _ := table.Pick(start, "m", nil, candidates, 100, nil)
-				table.Done(start, c, "m", nil, routing.Result{OK: true, Reported: -1})
+				table.RecordResult(start, c, "m", nil, routing.Result{OK: true, Reported: -1})
 			}
 		})
 	}
--- a/internal/routing/sender.go
+++ b/internal/routing/sender.go
@@ -65,12 +65,12 @@
 	Header    http.Header
 	Body      []byte
 	RequestID string
-	// Fresh opens a connection for this call alone: for requests that must not
+	// NewConnection opens a connection for this call alone: for requests that must not
 	// run twice.
-	Fresh bool
-	// Patience is how long a reused connection may be silent before the call
+	NewConnection bool
+	// SilenceTimeout is how long a reused connection may be silent before the call
 	// is given up with ErrSilent; 0 means until the context ends.
-	Patience time.Duration
+	SilenceTimeout time.Duration
 }
 
 // Sender sends calls over pooled connections. It is safe from any goroutine.
@@ -191,10 +191,10 @@
 	var written atomic.Int64
 	ctx = context.WithValue(ctx, counterKey{}, &written)
 	client := s.pooled
-	if c.Fresh {
+	if c.NewConnection {
 		client = s.fresh
 	}
-	watch := newSilenceWatch(c.Patience, func() { cancel(ErrSilent) })
+	watch := newSilenceWatch(c.SilenceTimeout, func() { cancel(ErrSilent) })
 	defer watch.stop()
 	q, err := newRequest(httptrace.WithClientTrace(ctx, watch.trace()), c)
 	if err != nil {
@@ -227,7 +227,7 @@
 	switch {
 	case errors.Is(err, ErrNotRun):
 		return errors.Newf("call %s: %w", c.Address, err)
-	case c.Fresh && written == 0:
+	case c.NewConnection && written == 0:
 		return errors.Newf("call %s: %v: %w", c.Address, err, ErrNotRun)
 	case errors.Is(cause, ErrSilent):
 		return errors.Newf("call %s: %w", c.Address, ErrSilent)
@@ -249,7 +249,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		q.Header.Set(HeaderDeadline, strconv.FormatInt(time.Until(deadline).Milliseconds(), 10))
 	}
-	if c.Fresh {
+	if c.NewConnection {
 		// The library would send a request without a body again by itself when
 		// a connection breaks; a body that cannot be had again forbids it.
 		q.GetBody = nil
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -124,7 +124,7 @@
 	c.Outstanding = s.outstanding
 	c.Reported = s.reported
 	c.ReportAge = now.Sub(s.reportedAt)
-	c.Prefix = prefix == serverKey{c.Server, c.Incarnation}
+	c.PrefixMatch = prefix == serverKey{c.Server, c.Incarnation}
 }
 
 func (t *Table) state(c Candidate) *serverState {
@@ -147,8 +147,8 @@
 	Reported int
 }
 
-// Done takes note that a request ended.
-func (t *Table) Done(now time.Time, c Candidate, target string, prompt []byte, r Result) {
+// RecordResult takes note that a request ended.
+func (t *Table) RecordResult(now time.Time, c Candidate, target string, prompt []byte, r Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.state(c)
--- a/internal/standin/application.go
+++ b/internal/standin/application.go
@@ -22,14 +22,14 @@
 	Service     string
 	Incarnation uint64
 	Entries     []string
-	// Work is how long a request takes.
-	Work time.Duration
+	// RequestTime is how long a request takes.
+	RequestTime time.Duration
 	// Runs, where set, counts the runs of all servers of a service together.
 	Runs *Runs
-	// HarmfulBody, where set, is the body of a request under which the server ends as soon
+	// CrashBody, where set, is the body of a request under which the server ends as soon
 	// as it begins to run it; Ended, where set, is called then.
-	HarmfulBody string
-	Ended       func()
+	CrashBody string
+	Crashed   func()
 	// Handle, where set, answers in place of the booking; for faults.
 	Handle http.HandlerFunc
 }
@@ -51,15 +51,15 @@
 	return r.byID[key]
 }
 
-// Of returns how often a key ran.
-func (r *Runs) Of(key string) int {
+// Count returns how often a key ran.
+func (r *Runs) Count(key string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.byID[key]
 }
 
-// Most returns the highest count of any key.
-func (r *Runs) Most() int {
+// Max returns the highest count of any key.
+func (r *Runs) Max() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	most := 0
@@ -122,7 +122,7 @@
 	if err != nil {
 		return
 	}
-	if a.cfg.HarmfulBody != "" && string(body) == a.cfg.HarmfulBody {
+	if a.cfg.CrashBody != "" && string(body) == a.cfg.CrashBody {
 		a.crash()
 		return
 	}
@@ -130,7 +130,7 @@
 	if q.Method != http.MethodGet {
 		n = a.cfg.Runs.Add(q.Header.Get("Idempotency-Key"))
 	}
-	time.Sleep(a.cfg.Work)
+	time.Sleep(a.cfg.RequestTime)
 	w.Header().Set(routing.HeaderRequestID, q.Header.Get(routing.HeaderRequestID))
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]any{
@@ -141,8 +141,8 @@
 // crash ends the server at once, as a process does that ends by what it runs. Close is
 // still to be called.
 func (a *Application) crash() {
-	if a.cfg.Ended != nil {
-		a.cfg.Ended()
+	if a.cfg.Crashed != nil {
+		a.cfg.Crashed()
 	}
 	a.announcer.stopSoon()
 	_ = a.server.Close()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -33,8 +33,8 @@
 	// load at DiskMiBPerSecond.
 	WeightStore      string
 	DiskMiBPerSecond float64
-	// Cached maps checkpoints that lie on the engine's disk at the start.
-	Cached []string
+	// CachedCheckpoints maps checkpoints that lie on the engine's disk at the start.
+	CachedCheckpoints []string
 	// TokenTime is the time for one token; Tokens the length of an answer.
 	TokenTime time.Duration
 	Tokens    int
@@ -86,7 +86,7 @@
 		cfg: cfg, done: make(chan struct{}), loaded: map[string]loadedTarget{},
 		cached: map[string]bool{}, highest: map[string]uint64{}, loads: map[string]int{},
 	}
-	for _, c := range cfg.Cached {
+	for _, c := range cfg.CachedCheckpoints {
 		e.cached[c] = true
 	}
 	mux := http.NewServeMux()
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -69,8 +69,8 @@
 	return l, nil
 }
 
-// From returns the function with which a host connects to others.
-func (n *Network) From(ip string) func(ctx context.Context, address string) (net.Conn, error) {
+// DialFrom returns the function with which a host connects to others.
+func (n *Network) DialFrom(ip string) func(ctx context.Context, address string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) { return n.dial(ctx, ip, address) }
 }
 
@@ -86,9 +86,9 @@
 	n.wake()
 }
 
-// Off takes a host's power: it is not heard any more, and its ports are free. What runs
+// PowerOff takes a host's power: it is not heard any more, and its ports are free. What runs
 // on it must be ended by the caller.
-func (n *Network) Off(ip string) {
+func (n *Network) PowerOff(ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.dark[ip] = true
@@ -101,8 +101,8 @@
 	n.wake()
 }
 
-// On gives a host its power back.
-func (n *Network) On(ip string) {
+// PowerOn gives a host its power back.
+func (n *Network) PowerOn(ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.dark, ip)
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// WeightsConfig configures a weight store.
-type WeightsConfig struct {
+// WeightStoreConfig configures a weight store.
+type WeightStoreConfig struct {
 	Listener net.Listener
 	// LoadsPerSecond bounds the starts of loads; FullSpeed loads run side by
 	// side at MiBPerSecond each, more share it.
@@ -20,10 +20,10 @@
 	MiBPerSecond   float64
 }
 
-// Weights is a weight store that sends no bytes: it answers when a load of a
+// WeightStore is a weight store that sends no bytes: it answers when a load of a
 // size would have come through.
-type Weights struct {
-	cfg    WeightsConfig
+type WeightStore struct {
+	cfg    WeightStoreConfig
 	server *http.Server
 	done   chan struct{}
 
@@ -35,9 +35,9 @@
 	slowdown float64
 }
 
-// NewWeights starts a weight store.
-func NewWeights(cfg WeightsConfig) *Weights {
-	w := &Weights{cfg: cfg, done: make(chan struct{}), slowdown: 1}
+// NewWeightStore starts a weight store.
+func NewWeightStore(cfg WeightStoreConfig) *WeightStore {
+	w := &WeightStore{cfg: cfg, done: make(chan struct{}), slowdown: 1}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /weights/{target}/{version}", w.get)
 	w.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
@@ -49,23 +49,23 @@
 }
 
 // Address returns the store's IP:PORT.
-func (w *Weights) Address() string { return w.cfg.Listener.Addr().String() }
+func (w *WeightStore) Address() string { return w.cfg.Listener.Addr().String() }
 
 // SetSlowdown divides the store's rate.
-func (w *Weights) SetSlowdown(by float64) {
+func (w *WeightStore) SetSlowdown(by float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slowdown = by
 }
 
 // Loads returns the number of loads that were started.
-func (w *Weights) Loads() int {
+func (w *WeightStore) Loads() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.loads
 }
 
-func (w *Weights) get(rw http.ResponseWriter, q *http.Request) {
+func (w *WeightStore) get(rw http.ResponseWriter, q *http.Request) {
 	mib, err := strconv.ParseFloat(q.URL.Query().Get("mib"), 64)
 	if err != nil {
 		rw.WriteHeader(http.StatusBadRequest)
@@ -80,7 +80,7 @@
 	}
 }
 
-func (w *Weights) begin(mib float64) time.Duration {
+func (w *WeightStore) begin(mib float64) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
@@ -98,14 +98,14 @@
 	return start.Sub(now) + time.Duration(mib/rate*float64(time.Second))
 }
 
-func (w *Weights) end() {
+func (w *WeightStore) end() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.running--
 }
 
 // Close stops the store.
-func (w *Weights) Close() {
+func (w *WeightStore) Close() {
 	_ = w.server.Close()
 	<-w.done
 }
--- a/internal/attendance/attendance.go
+++ b/internal/subscription/subscription.go
@@ -1,8 +1,8 @@
-// Package attendance is what a control host knows of the entries that attend it: which
+// Package subscription is what a control host knows of the entries that attend it: which
 // there are, what they are asked for, what they have at the engines and how far they have
 // been told. The leader is told the sum, in one word for all of them: told one by one, 291
 // entries cost a leader of a quarter of a core more than all else that it did.
-package attendance
+package subscription
 
 import (
 	"cmp"
@@ -19,9 +19,9 @@
 	"fennelyard/internal/schema"
 )
 
-// Silence is how long an entry may say nothing before callers are no longer sent to it.
+// SilenceTimeout is how long an entry may say nothing before callers are no longer sent to it.
 // Entries speak every 300 ms; a frozen one says nothing while its connections stay open.
-const Silence = 1200 * time.Millisecond
+const SilenceTimeout = 1200 * time.Millisecond
 
 // behindMost is how many of the entries that are told no further than others are named.
 const behindMost = 4
@@ -34,9 +34,9 @@
 	Log         logr.Logger
 }
 
-// Entries are the entries that attend a control host. All methods are safe from any
+// Registry are the entries that attend a control host. All methods are safe from any
 // goroutine.
-type Entries struct {
+type Registry struct {
 	cfg Config
 	// uses are what the entries admitted of the teams' quotas.
 	uses *quota.Totals
@@ -57,7 +57,7 @@
 	// listed is set while the leader knows the list of entries as it is.
 	listed bool
 	// confirm is how far the entries were told by a word that somebody may wait for.
-	confirm Told
+	confirm Progress
 }
 
 // attendee is one entry's stream.
@@ -74,7 +74,7 @@
 	loads          []*schema.EngineLoad
 	waiting        map[target]uint32
 	// told is how far the entry has been told, by its own word.
-	told Told
+	told Progress
 }
 
 // engineLoad is the sum of what entries have at an engine.
@@ -87,39 +87,41 @@
 // target names a model, or an adapter of it.
 type target struct{ pool, model, adapter string }
 
-// Told is how far an entry, or a host with all of its entries, has been told.
-type Told struct {
+// Progress is how far an entry, or a host with all of its entries, has been told.
+type Progress struct {
 	// Known is of the leader's roster, Revision of the log.
 	Known    roster.Position
 	Revision uint64
 }
 
 // reaches reports whether all of far has been told.
-func (t Told) reaches(far Told) bool { return !t.Known.Before(far.Known) && t.Revision >= far.Revision }
+func (t Progress) reaches(far Progress) bool {
+	return !t.Known.Before(far.Known) && t.Revision >= far.Revision
+}
 
-// New returns an attendance of nobody.
-func New(cfg Config) *Entries {
-	return &Entries{
+// New returns a registry without entries.
+func New(cfg Config) *Registry {
+	return &Registry{
 		cfg: cfg, uses: quota.NewTotals(cfg.QuotaWindow), urgent: make(chan struct{}, 1), entries: map[string]*attendee{}, waiting: map[target]uint32{},
 		since: map[target]*schema.ModelDemand{}, said: map[target]bool{}, loads: map[string]*engineLoad{},
 	}
 }
 
-// Urgent receives when the leader should be told at once: requests wait, or what somebody
+// ReportRequested receives when the leader should be told at once: requests wait, or what somebody
 // may wait for has been told to all entries.
-func (e *Entries) Urgent() <-chan struct{} { return e.urgent }
+func (e *Registry) ReportRequested() <-chan struct{} { return e.urgent }
 
-// Hurry has the leader told at once.
-func (e *Entries) Hurry() {
+// RequestReport has the leader told at once.
+func (e *Registry) RequestReport() {
 	select {
 	case e.urgent <- struct{}{}:
 	default:
 	}
 }
 
-// Attend notes that an entry speaks on a stream to this host; stream numbers grow, and
+// Subscribe notes that an entry speaks on a stream to this host; stream numbers grow, and
 // number is the entry's own.
-func (e *Entries) Attend(stream uint64, entry *schema.RosterEntry, number uint64) {
+func (e *Registry) Subscribe(stream uint64, entry *schema.RosterEntry, number uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if old := e.entries[entry.GetHost()]; old != nil {
@@ -131,15 +133,15 @@
 }
 
 // present returns an entry if the stream is its newest; mu is held.
-func (e *Entries) present(stream uint64, host string) *attendee {
+func (e *Registry) present(stream uint64, host string) *attendee {
 	if a := e.entries[host]; a != nil && a.stream == stream {
 		return a
 	}
 	return nil
 }
 
-// Hear takes in an entry's word.
-func (e *Entries) Hear(stream uint64, host string, news *schema.EntryNews) {
+// HandleReport takes in an entry's word.
+func (e *Registry) HandleReport(stream uint64, host string, news *schema.EntryNews) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	a := e.present(stream, host)
@@ -153,7 +155,7 @@
 	if a.stopping != news.GetStopping() || a.silent {
 		a.stopping, a.silent, e.listed = news.GetStopping(), false, false
 		e.cfg.Log.Info("entry state", "entry", host, "stopping", a.stopping, "silent", false)
-		e.Hurry()
+		e.RequestReport()
 	}
 	if news.GetLoadsTold() {
 		e.load(a, news.GetLoads())
@@ -167,7 +169,7 @@
 }
 
 // demand adds what an entry was asked for; mu is held.
-func (e *Entries) demand(a *attendee, d *schema.ModelDemand) {
+func (e *Registry) demand(a *attendee, d *schema.ModelDemand) {
 	t := target{d.GetPool(), d.GetModel(), d.GetAdapter()}
 	sum := e.sum(t)
 	sum.Arrived += d.GetArrived()
@@ -177,12 +179,12 @@
 	e.wait(a, t, d.GetWaiting())
 	if before == 0 && d.GetWaiting() > 0 {
 		// More requests for what is waited for already are told with the next beat.
-		e.Hurry()
+		e.RequestReport()
 	}
 }
 
 // wait sets how many requests wait for a target at an entry; mu is held.
-func (e *Entries) wait(a *attendee, t target, n uint32) {
+func (e *Registry) wait(a *attendee, t target, n uint32) {
 	e.waiting[t] += n - a.waiting[t]
 	if e.waiting[t] == 0 {
 		delete(e.waiting, t)
@@ -195,7 +197,7 @@
 }
 
 // load sets what an entry has at the engines; mu is held.
-func (e *Entries) load(a *attendee, loads []*schema.EngineLoad) {
+func (e *Registry) load(a *attendee, loads []*schema.EngineLoad) {
 	for _, l := range a.loads {
 		sum := e.loads[l.GetServer()]
 		sum.running -= l.GetRunning()
@@ -223,15 +225,15 @@
 
 // empty forgets what waits at an entry that has gone, and what it had at the engines: that
 // is not known to have ended, but nobody says so either. mu is held.
-func (e *Entries) empty(a *attendee) {
+func (e *Registry) empty(a *attendee) {
 	for t := range a.waiting {
 		e.wait(a, t, 0)
 	}
 	e.load(a, nil)
 }
 
-// Told notes how far an entry says that it was told.
-func (e *Entries) Told(stream uint64, host string, far Told) {
+// Acknowledge notes how far an entry says that it was told.
+func (e *Registry) Acknowledge(stream uint64, host string, far Progress) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	a := e.present(stream, host)
@@ -241,12 +243,12 @@
 	lacked := !e.least().reaches(e.confirm)
 	a.told = far
 	if lacked && e.least().reaches(e.confirm) {
-		e.Hurry()
+		e.RequestReport()
 	}
 }
 
-// Expect notes that somebody may wait until all entries have been told so far.
-func (e *Entries) Expect(far Told) {
+// ExpectAck notes that somebody may wait until all entries have been told so far.
+func (e *Registry) ExpectAck(far Progress) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.confirm.Known.Before(far.Known) {
@@ -257,8 +259,8 @@
 
 // least is how far all entries that speak have been told; mu is held. With none it is
 // further than anything.
-func (e *Entries) least() Told {
-	out := Told{Known: roster.Furthest, Revision: ^uint64(0)}
+func (e *Registry) least() Progress {
+	out := Progress{Known: roster.MaxPosition, Revision: ^uint64(0)}
 	for _, a := range e.entries {
 		if !a.silent {
 			out = out.least(a.told)
@@ -268,7 +270,7 @@
 }
 
 // least is how far both have been told.
-func (t Told) least(u Told) Told {
+func (t Progress) least(u Progress) Progress {
 	if u.Known.Before(t.Known) {
 		t.Known = u.Known
 	}
@@ -277,14 +279,14 @@
 }
 
 // Count returns the number of entries that attend.
-func (e *Entries) Count() int {
+func (e *Registry) Count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.entries)
 }
 
-// Leave notes the end of an entry's stream.
-func (e *Entries) Leave(stream uint64, host string) {
+// Unsubscribe notes the end of an entry's stream.
+func (e *Registry) Unsubscribe(stream uint64, host string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	a := e.present(stream, host)
@@ -295,35 +297,35 @@
 	delete(e.entries, host)
 	e.listed = false
 	e.cfg.Log.Info("entry left", "entry", host, "attending", len(e.entries))
-	e.Hurry()
+	e.RequestReport()
 }
 
 // Sweep leaves out entries that have fallen silent.
-func (e *Entries) Sweep() {
+func (e *Registry) Sweep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for host, a := range e.entries {
-		if a.silent || e.cfg.Now().Sub(a.heard) <= Silence {
+		if a.silent || e.cfg.Now().Sub(a.heard) <= SilenceTimeout {
 			continue
 		}
 		a.silent, e.listed = true, false
 		e.empty(a)
 		e.cfg.Log.Info("entry state", "entry", host, "stopping", a.stopping, "silent", true)
-		e.Hurry()
+		e.RequestReport()
 	}
 }
 
-// Begin forgets what a leader was told: a word to another one begins with everything.
-func (e *Entries) Begin() {
+// ResetReported forgets what a leader was told: a word to another one begins with everything.
+func (e *Registry) ResetReported() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.listed = false
 	clear(e.said)
 }
 
-// News returns the next word to the leader, of entries that are told by a host which
+// NextReport returns the next word to the leader, of entries that are told by a host which
 // itself has been told so far; with loads also what they have at the engines.
-func (e *Entries) News(own Told, loads bool) *schema.HostNews {
+func (e *Registry) NextReport(own Progress, loads bool) *schema.HostNews {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	far := own.least(e.least())
@@ -341,7 +343,7 @@
 }
 
 // behind names entries that hold back how far all are told; mu is held.
-func (e *Entries) behind(far, own Told) []string {
+func (e *Registry) behind(far, own Progress) []string {
 	if far == own {
 		return nil
 	}
@@ -358,7 +360,7 @@
 
 // demands is what the leader does not know yet. What waits is said each time, what no
 // longer waits once; mu is held.
-func (e *Entries) demands() []*schema.ModelDemand {
+func (e *Registry) demands() []*schema.ModelDemand {
 	for t := range e.waiting {
 		e.sum(t)
 	}
@@ -378,7 +380,7 @@
 }
 
 // sum returns what was asked for of a target since the last word; mu is held.
-func (e *Entries) sum(t target) *schema.ModelDemand {
+func (e *Registry) sum(t target) *schema.ModelDemand {
 	d := e.since[t]
 	if d == nil {
 		d = &schema.ModelDemand{Pool: t.pool, Model: t.model, Adapter: t.adapter}
@@ -388,7 +390,7 @@
 }
 
 // engines is what all entries that speak have at the engines; mu is held.
-func (e *Entries) engines() []*schema.EngineLoad {
+func (e *Registry) engines() []*schema.EngineLoad {
 	out := make([]*schema.EngineLoad, 0, len(e.loads))
 	for id, sum := range e.loads {
 		if sum.running == 0 && sum.unread == 0 && len(sum.models) == 0 {
@@ -403,7 +405,7 @@
 }
 
 // list is every entry that speaks; mu is held.
-func (e *Entries) list() []*schema.AttendingEntry {
+func (e *Registry) list() []*schema.AttendingEntry {
 	out := []*schema.AttendingEntry{}
 	for _, a := range e.entries {
 		if !a.silent {
--- a/internal/story/story.go
+++ b/internal/timeline/timeline.go
@@ -1,6 +1,6 @@
-// Package story joins the log lines of several processes into what happened to
+// Package timeline joins the log lines of several processes into what happened to
 // one request.
-package story
+package timeline
 
 import (
 	"bufio"
@@ -110,21 +110,21 @@
 	return out, nil
 }
 
-// Story is what the logs tell of one request.
-type Story struct {
+// Timeline is what the logs tell of one request.
+type Timeline struct {
 	// Requests are the lines of the request itself, one for each entry that took
 	// it.
 	Requests []*Line
-	// Beliefs are the lines about what it ran on, shortly before and during it.
-	Beliefs []*Line
+	// StateChanges are the lines about what it ran on, shortly before and during it.
+	StateChanges []*Line
 	// Dropped is set when a process dropped lines in that time: the story may
 	// lack some.
 	Dropped bool
 }
 
-// Tell collects the story of a request.
-func Tell(id string, lines []*Line) (*Story, error) {
-	s := &Story{}
+// Collect collects the story of a request.
+func Collect(id string, lines []*Line) (*Timeline, error) {
+	s := &Timeline{}
 	for _, l := range lines {
 		if l.Message == requestLine && l.text("id") == id {
 			s.Requests = append(s.Requests, l)
@@ -139,19 +139,19 @@
 		}
 		for _, q := range s.Requests {
 			if s.belongs(l, q) {
-				s.Beliefs = append(s.Beliefs, l)
+				s.StateChanges = append(s.StateChanges, l)
 				break
 			}
 		}
 	}
 	byTime := func(a, b *Line) int { return a.At.Compare(b.At) }
 	slices.SortStableFunc(s.Requests, byTime)
-	slices.SortStableFunc(s.Beliefs, func(a, b *Line) int { return cmp.Or(byTime(a, b), cmp.Compare(a.Host, b.Host)) })
+	slices.SortStableFunc(s.StateChanges, func(a, b *Line) int { return cmp.Or(byTime(a, b), cmp.Compare(a.Host, b.Host)) })
 	return s, nil
 }
 
 // belongs reports whether a line is about what a request depended on.
-func (s *Story) belongs(l, q *Line) bool {
+func (s *Timeline) belongs(l, q *Line) bool {
 	from := q.At.Add(-q.milliseconds("took-ms") - before)
 	if names(l, q.text("key")) && l.At.Before(q.At) {
 		// What made a request suspect may be long ago.
--- a/internal/story/story_test.go
+++ b/internal/timeline/timeline_test.go
@@ -1,4 +1,4 @@
-package story_test
+package timeline_test
 
 import (
 	"strings"
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"fennelyard/internal/gateway"
-	"fennelyard/internal/story"
+	"fennelyard/internal/timeline"
 )
 
 const logs = `
@@ -23,18 +23,18 @@
 // A caller complains; the id leads to the refusal, to the order for its model
 // that had no answer, and to the leader that the entry had lost.
 func TestFromIDToCause(t *testing.T) {
-	lines, err := story.Read(strings.NewReader(logs))
+	lines, err := timeline.Read(strings.NewReader(logs))
 	require.NoError(t, err)
-	s, err := story.Tell("42", lines)
+	s, err := timeline.Collect("42", lines)
 	require.NoError(t, err)
 	require.Len(t, s.Requests, 1)
-	require.Contains(t, story.Cause(s.Requests[0]), "no server held model m; after 2s")
-	require.Len(t, s.Beliefs, 2)
-	require.Contains(t, s.Beliefs[0].String(), "order given model=m outcome=unknown server=s1")
-	require.Contains(t, s.Beliefs[1].String(), "leader lost error=silent")
+	require.Contains(t, timeline.Cause(s.Requests[0]), "no server held model m; after 2s")
+	require.Len(t, s.StateChanges, 2)
+	require.Contains(t, s.StateChanges[0].String(), "order given model=m outcome=unknown server=s1")
+	require.Contains(t, s.StateChanges[1].String(), "leader lost error=silent")
 	require.False(t, s.Dropped)
-	_, err = story.Tell("44", lines)
-	require.ErrorIs(t, err, story.ErrUnknown)
+	_, err = timeline.Collect("44", lines)
+	require.ErrorIs(t, err, timeline.ErrUnknown)
 }
 
 // Every outcome that a request can be logged with has a sentence of its own.
@@ -42,12 +42,12 @@
 	seen := map[string]bool{}
 	for o := gateway.OutcomeServed; !strings.HasPrefix(o.String(), "Outcome("); o++ {
 		outcome := o.String()
-		lines, err := story.Read(strings.NewReader(
+		lines, err := timeline.Read(strings.NewReader(
 			`{"time":"2026-01-02T03:04:03Z","msg":"request","id":"1","outcome":"` + outcome + `"}`))
 		require.NoError(t, err)
-		s, err := story.Tell("1", lines)
+		s, err := timeline.Collect("1", lines)
 		require.NoError(t, err)
-		cause := story.Cause(s.Requests[0])
+		cause := timeline.Cause(s.Requests[0])
 		require.False(t, seen[cause], "%s: %s", outcome, cause)
 		seen[cause] = true
 	}
@@ -65,14 +65,14 @@
 // the start that had it, up to the line that says that it has ended: what the next start
 // was ordered has nothing to do with it.
 func TestStoryIsOfOneStart(t *testing.T) {
-	lines, err := story.Read(strings.NewReader(startLogs))
+	lines, err := timeline.Read(strings.NewReader(startLogs))
 	require.NoError(t, err)
-	s, err := story.Tell("42", lines)
+	s, err := timeline.Collect("42", lines)
 	require.NoError(t, err)
-	require.Contains(t, story.Cause(s.Requests[0]), "server s1@1000 took the request")
-	require.Len(t, s.Beliefs, 2)
-	require.Contains(t, s.Beliefs[0].String(), "order given model=m outcome=taken server=s1@1000")
-	require.Contains(t, s.Beliefs[1].String(), "reason=the server has started again")
+	require.Contains(t, timeline.Cause(s.Requests[0]), "server s1@1000 took the request")
+	require.Len(t, s.StateChanges, 2)
+	require.Contains(t, s.StateChanges[0].String(), "order given model=m outcome=taken server=s1@1000")
+	require.Contains(t, s.StateChanges[1].String(), "reason=the server has started again")
 }
 
 const harmfulLogs = `
@@ -85,12 +85,12 @@
 // A caller complains of a refusal; the request's key leads to the servers that had ended
 // under it a minute before, at another entry, and not to those that ended under others.
 func TestHeldBackRequestLeadsToTheServersThatEnded(t *testing.T) {
-	lines, err := story.Read(strings.NewReader(harmfulLogs))
+	lines, err := timeline.Read(strings.NewReader(harmfulLogs))
 	require.NoError(t, err)
-	s, err := story.Tell("42", lines)
+	s, err := timeline.Collect("42", lines)
 	require.NoError(t, err)
-	require.Contains(t, story.Cause(s.Requests[0]), "ended three servers that ran it, see key k1")
-	require.Len(t, s.Beliefs, 2)
-	require.Contains(t, s.Beliefs[0].String(), "server=s1")
-	require.Contains(t, s.Beliefs[1].String(), "request held back")
+	require.Contains(t, timeline.Cause(s.Requests[0]), "ended three servers that ran it, see key k1")
+	require.Len(t, s.StateChanges, 2)
+	require.Contains(t, s.StateChanges[0].String(), "server=s1")
+	require.Contains(t, s.StateChanges[1].String(), "request held back")
 }
