--- a/internal/gateway/access.go
+++ b/internal/gateway/access.go
@@ -8,106 +8,109 @@
 	"fennelyard/internal/schema"
 )
 
-// unconfirmedAfter is the age of the last confirmation from the control group from which on
-// an entry counts as behind: it may lack a configuration that is in force elsewhere.
-const unconfirmedAfter = 1500 * time.Millisecond
+// maxConfirmationAge is the age of the last confirmation by the control group above which an
+// entry counts as behind: it may lack a configuration that is in force elsewhere.
+const maxConfirmationAge = 1500 * time.Millisecond
 
-// access is what a request may do by its API key.
+// access holds the permissions of a request by its API key.
 type access struct {
-	// team is nil where the request needs no key and brings none that is known.
+	// team is nil if the route is anonymous and the request carries no known key.
 	team *schema.Team
-	// cost is what the request was counted against its team's quota, 0: nothing.
+	// cost is the amount counted against the team's quota, 0 for none.
 	cost float64
 }
 
-// teamName is "" for requests of no team.
+// teamName returns the name of the caller's team, empty for none.
 func (x *exchange) teamName() string { return x.access.team.GetName() }
 
-// authorize finds the caller's team and counts the request against its quota. It answers
-// by itself where the request may not run.
+// authorize finds the caller's team and counts the request against its quota. It sends the
+// response itself and returns false if the request may not run.
 func (x *exchange) authorize() bool {
 	if !x.authenticate() {
 		return false
 	}
-	t := x.access.team
-	if t == nil || !quota.Limits(t.GetQuota()) {
+	team := x.access.team
+	if team == nil || !quota.Limits(team.GetQuota()) {
 		return true
 	}
 	now := time.Now()
-	cost := quota.Cost(t.GetQuota(), float64(x.call.PromptTokens)+float64(x.call.OutputTokens), x.call.TokensDeclared)
-	fresh := now.Sub(x.g.attend.confirmedAt()) < unconfirmedAfter
-	after, ok := x.g.quotas.Admit(t, cost, fresh, x.g.entryCount(), now)
+	cost := quota.Cost(team.GetQuota(), float64(x.info.PromptTokens)+float64(x.info.OutputTokens), x.info.TokensDeclared)
+	confirmed := now.Sub(x.g.subscriber.confirmedAt()) < maxConfirmationAge
+	retryAfter, ok := x.g.quotas.Admit(team, cost, confirmed, x.g.entryCount(), now)
 	if !ok {
-		x.refuse(http.StatusTooManyRequests, OutcomeOverQuota, after)
+		x.reject(http.StatusTooManyRequests, OutcomeOverQuota, retryAfter)
 		return false
 	}
 	x.access.cost = cost
 	return true
 }
 
-// authenticate finds the caller's team by its API key, in the newest configuration.
+// authenticate finds the caller's team by its API key in the newest configuration. It sends the
+// response itself and returns false if the key is not accepted.
 func (x *exchange) authenticate() bool {
-	// Before the configuration, or a confirmation that came with the next one would count
-	// for the one that it replaced.
-	age := time.Since(x.g.attend.confirmedAt())
+	// The age is taken before the configuration: otherwise a confirmation that arrives together
+	// with the next configuration would count for the replaced one.
+	age := time.Since(x.g.subscriber.confirmedAt())
 	teams := x.g.table.Load().teams
 	if teams.Empty() {
 		return true
 	}
-	x.access.team = teams.Find(x.call.APIKey)
+	x.access.team = teams.Find(x.info.APIKey)
 	if x.route.GetAnonymous() {
 		return true
 	}
-	if !x.g.accepts(age) {
+	if !x.g.acceptsConfirmationAge(age) {
 		// The key may have been revoked since.
-		x.giveUp(OutcomeUnconfirmed, refuseAfter)
+		x.fail(OutcomeUnconfirmed, defaultRetryAfter)
 		return false
 	}
 	if x.access.team != nil {
 		return true
 	}
-	if age > unconfirmedAfter {
+	if age > maxConfirmationAge {
 		// The key may have been added since.
-		x.giveUp(OutcomeUnconfirmed, refuseAfter)
+		x.fail(OutcomeUnconfirmed, defaultRetryAfter)
 		return false
 	}
-	x.giveUp(OutcomeUnauthorized, 0)
+	x.fail(OutcomeUnauthorized, 0)
 	return false
 }
 
-// accepts reports whether keys are accepted by a configuration that was last confirmed so
-// long ago.
-func (g *Gateway) accepts(age time.Duration) bool {
+// acceptsConfirmationAge reports whether keys of a configuration of this confirmation age are
+// accepted.
+func (g *Gateway) acceptsConfirmationAge(age time.Duration) bool {
 	return g.cfg.KeyRevocation == 0 || age <= g.cfg.KeyRevocation
 }
 
-// AcceptsKey reports whether an API key is a team's, by a configuration that is confirmed
+// AcceptsKey reports whether an API key belongs to a team by a configuration that is confirmed
 // recently enough.
 func (g *Gateway) AcceptsKey(key string) bool {
-	// See authenticate for the order.
-	age := time.Since(g.attend.confirmedAt())
+	// The age is taken before the configuration, as in authenticate.
+	age := time.Since(g.subscriber.confirmedAt())
 	t := g.table.Load()
-	return t != nil && g.accepts(age) && t.teams.Find(key) != nil
+	return t != nil && g.acceptsConfirmationAge(age) && t.teams.Find(key) != nil
 }
 
-// mayResume reports whether the caller's key still holds for another run of a stream.
-func (x *exchange) mayResume() bool {
+// keyAllowsResume reports whether the caller's key is still accepted for another attempt at a
+// stream.
+func (x *exchange) keyAllowsResume() bool {
 	team := x.access.team
-	return team == nil || x.route.GetAnonymous() || x.g.AcceptsKey(x.call.APIKey)
+	return team == nil || x.route.GetAnonymous() || x.g.AcceptsKey(x.info.APIKey)
 }
 
-// release gives back what a request was counted that did not run.
-func (x *exchange) release() {
+// refundQuota returns the cost of a request that did not run to the team's quota.
+func (x *exchange) refundQuota() {
 	if x.access.cost > 0 && x.runs <= 0 {
 		x.g.quotas.Refund(x.teamName(), x.access.cost, time.Now())
 	}
 }
 
-// urgency is the rank of a request at its server: its team's, or else its route's.
-func (x *exchange) urgency() int {
-	rank := x.route.GetPriority()
+// priority returns the request's priority at its server: the one of its team, otherwise the one
+// of its route.
+func (x *exchange) priority() int {
+	priority := x.route.GetPriority()
 	if t := x.access.team; t != nil && t.Priority != nil {
-		rank = t.GetPriority()
+		priority = t.GetPriority()
 	}
-	return int(min(rank, 9))
+	return int(min(priority, 9))
 }
--- a/internal/gateway/attempt_timer.go
+++ b/internal/gateway/attempt_timer.go
@@ -8,90 +8,88 @@
 )
 
 const (
-	// patienceLeast is the least time without a word after which a repeatable
-	// request is sent elsewhere: the longest that a sound server takes for a short
-	// request.
-	patienceLeast = 450 * time.Millisecond
-	// patienceAgain is how often a request that is out of patience looks for a repeat:
-	// the allowance grows, and other servers become free.
-	patienceAgain = 100 * time.Millisecond
+	// minAttemptTimeout is the shortest timeout of an attempt without a response that can be
+	// retried elsewhere: the longest time that a healthy server takes for a short request.
+	minAttemptTimeout = 450 * time.Millisecond
+	// attemptRecheckInterval is how often an attempt that has timed out checks for a retry: the
+	// budget refills, and other servers become free.
+	attemptRecheckInterval = 100 * time.Millisecond
 )
 
-// patience gives up an attempt that has shown nothing for long, where the request
-// can be sent elsewhere at once. An attempt that is given up without that ends in an
-// error for its caller, while its server, most often one with a queue, would have
-// answered late: after all hosts had lost power, entries broke off 59 streams in a
-// moment and had no repeat for any. The zero value never gives up. All methods are safe from any goroutine.
-type patience struct {
+// attemptTimer cancels an attempt without a response after a timeout, provided that the request
+// can be sent to another server at once. Canceling an attempt without a retry would return an
+// error to the caller while the server, most often one with a queue, would have responded late:
+// after a power loss of all hosts, entries canceled 59 streams at once without a retry for any
+// of them. The zero value never expires. It is safe for concurrent use.
+type attemptTimer struct {
 	cancel func()
-	// repeat takes a repeat, or returns false when none is to be had.
-	repeat func() bool
+	// reserveRetry takes a retry from the budget; it returns false if none is available.
+	reserveRetry func() bool
 
 	mu    sync.Mutex
 	timer *time.Timer
-	// begun is set once the answer has begun, and gaveUp once the attempt is given
-	// up; at most one of them is. Were the caller sent the first event of an attempt
-	// that is given up at that moment, its stream would be cut. Guarded by mu.
-	begun  bool
-	gaveUp bool
+	// stopped is set once the response has started, expired once the attempt is canceled; at most
+	// one of them is set. Otherwise the caller could receive the first event of an attempt that is
+	// being canceled, and its stream would be interrupted. Guarded by mu.
+	stopped bool
+	expired bool
 }
 
-func newPatience(after time.Duration, cancel func(), repeat func() bool) *patience {
-	p := &patience{cancel: cancel, repeat: repeat}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.timer = time.AfterFunc(after, p.out)
-	return p
+func newAttemptTimer(timeout time.Duration, cancel func(), reserveRetry func() bool) *attemptTimer {
+	t := &attemptTimer{cancel: cancel, reserveRetry: reserveRetry}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.timer = time.AfterFunc(timeout, t.expire)
+	return t
 }
 
-func (p *patience) out() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.begun || p.gaveUp {
+func (t *attemptTimer) expire() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.stopped || t.expired {
 		return
 	}
-	if !p.repeat() {
-		p.timer.Reset(patienceAgain)
+	if !t.reserveRetry() {
+		t.timer.Reset(attemptRecheckInterval)
 		return
 	}
-	p.gaveUp = true
-	p.cancel()
+	t.expired = true
+	t.cancel()
 }
 
-// begin notes that the answer has begun, or that nothing more is waited for. It
-// returns false where the attempt was given up before.
-func (p *patience) begin() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.begun = !p.gaveUp
-	if p.timer != nil {
-		p.timer.Stop()
+// stop stops the timer because the response has started or the attempt has ended. It returns
+// false if the attempt was canceled before.
+func (t *attemptTimer) stop() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.stopped = !t.expired
+	if t.timer != nil {
+		t.timer.Stop()
 	}
-	return p.begun
+	return t.stopped
 }
 
-// patience returns the patience of the attempt at hand.
-func (x *exchange) patience(cancel func(), left time.Duration) *patience {
-	if !x.mayRepeat() {
-		return &patience{}
+// newAttemptTimer returns the timer of the current attempt.
+func (x *exchange) newAttemptTimer(cancel func(), remaining time.Duration) *attemptTimer {
+	if !x.mayRetry() {
+		return &attemptTimer{}
 	}
 	aim := time.Duration(x.route.GetAimMs()) * time.Millisecond
-	// What the attempt works on is not touched by the timer.
-	elsewhere := append([]string{x.server.id}, x.tried...)
-	return newPatience(min(max(aim*3/2, patienceLeast), left*2/3), cancel, func() bool {
+	// The timer runs concurrently with the attempt, so that it uses a copy.
+	excluded := append([]string{x.server.id}, x.excluded...)
+	return newAttemptTimer(min(max(aim*3/2, minAttemptTimeout), remaining*2/3), cancel, func() bool {
 		now := time.Now()
-		s := x.g.fleet.choose(x.pool, &x.call, elsewhere, now, x.random)
-		return s != nil && x.g.fleet.hasPlace(s) && x.g.budget(x.pool).spend(now, x.g.entryCount())
+		s := x.g.fleet.choose(x.pool, &x.info, excluded, now, x.random)
+		return s != nil && x.g.fleet.hasFreeSlot(s) && x.g.retryBudget(x.pool).withdraw(now, x.g.entryCount())
 	})
 }
 
-func (x *exchange) mayRepeat() bool {
+func (x *exchange) mayRetry() bool {
 	return x.route.GetRepeat() != schema.Repeat_REPEAT_NEVER && x.runs+1 < int(max(x.route.GetMaxAttempts(), 1))
 }
 
-// hasPlace reports whether a server has a place that no request of any entry has,
-// as far as is known.
-func (f *fleet) hasPlace(s *server) bool {
+// hasFreeSlot reports whether a server has a slot that is not known to be in use by any entry.
+func (f *fleet) hasFreeSlot(s *server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	slots := int(s.view.GetSlots())
--- a/internal/gateway/attempt_timer_test.go
+++ b/internal/gateway/attempt_timer_test.go
@@ -12,58 +12,58 @@
 	"fennelyard/internal/gateway"
 )
 
-// A server's first event comes at the very moment at which its attempt is out of
-// patience. Either the attempt is given up, and nothing of it may reach the caller,
-// or it goes on, and must not be cut: a caller saw a stream that was broken off right
-// after it had begun, without any fault of the server.
-func TestAttemptIsGivenUpOrBeginsNeverBoth(t *testing.T) {
+// A server's first event arrives at the very moment at which its attempt times out. Either the
+// attempt is canceled, and nothing of it may reach the caller, or it continues and must not be
+// canceled: otherwise the caller's stream is interrupted right after its start although the
+// server works.
+func TestAttemptTimerStopsOrExpires(t *testing.T) {
 	for name, x := range map[string]struct {
-		after  time.Duration
-		begins bool
+		delay time.Duration
+		stops bool
 	}{
-		"before": {449 * time.Millisecond, true},
-		"after":  {451 * time.Millisecond, false},
+		"before the timeout": {449 * time.Millisecond, true},
+		"after the timeout":  {451 * time.Millisecond, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				canceled := false
-				p := gateway.NewPatience(450*time.Millisecond, func() { canceled = true }, func() bool { return true })
-				time.Sleep(x.after)
-				require.Equal(t, x.begins, p.Begin())
+				timer := gateway.NewAttemptTimer(450*time.Millisecond, func() { canceled = true }, func() bool { return true })
+				time.Sleep(x.delay)
+				require.Equal(t, x.stops, timer.Stop())
 				time.Sleep(time.Second)
 				synctest.Wait()
-				require.Equal(t, !x.begins, canceled)
+				require.Equal(t, !x.stops, canceled)
 			})
 		})
 	}
 }
 
-// No repeat is to be had when an attempt is out of patience; a moment later one is.
-// The attempt goes on until then.
-func TestAttemptGoesOnUntilThereIsARepeat(t *testing.T) {
+// No retry is available when an attempt times out; a moment later one is. The attempt continues
+// until then.
+func TestAttemptTimerWaitsForRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
+		start := time.Now()
 		var canceled time.Duration
-		gateway.NewPatience(450*time.Millisecond, func() { canceled = time.Since(began) },
-			func() bool { return time.Since(began) >= 700*time.Millisecond })
+		gateway.NewAttemptTimer(450*time.Millisecond, func() { canceled = time.Since(start) },
+			func() bool { return time.Since(start) >= 700*time.Millisecond })
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		require.Equal(t, 750*time.Millisecond, canceled)
 	})
 }
 
-// A server has a queue and answers late, and the allowance of repeats is used up.
-// The caller gets the late answer. It got an error at once: its request was broken
-// off in the queue for a repeat that nobody had.
-func TestLateAnswerWithoutARepeatInHand(t *testing.T) {
-	late := func(conn net.Conn, q *http.Request) {
+// A server with a queue responds late, and the retry budget is used up. The caller must get the
+// late response, rather than an error at once because its attempt was canceled in the queue for
+// a retry that is not available.
+func TestLateResponseWithoutRetryBudget(t *testing.T) {
+	late := func(conn net.Conn, request *http.Request) {
 		time.Sleep(700 * time.Millisecond)
-		stream(1, 2, true)(conn, q)
+		streamEvents(1, 2, true)(conn, request)
 	}
 	a, b := newBackend(t, late), newBackend(t, late)
-	bed := newBedWith(t, gateway.RetryBudgetConfig{Ratio: 0, Window: time.Hour, Burst: 0}, a, b)
-	got := bed.call(t, "/resume/x", "body", "m")
+	tg := newTestGatewayWithBudget(t, gateway.RetryBudgetConfig{Ratio: 0, Window: time.Hour, Burst: 0}, a, b)
+	got := tg.call(t, "/resume/x", "body", "m")
 	require.Equal(t, http.StatusOK, got.status)
-	require.False(t, got.broken)
-	require.Equal(t, int64(1), a.seen.Load()+b.seen.Load())
+	require.False(t, got.interrupted)
+	require.Equal(t, int64(1), a.requests.Load()+b.requests.Load())
 }
--- a/internal/gateway/backlog.go
+++ b/internal/gateway/backlog.go
@@ -2,53 +2,55 @@
 
 import "time"
 
-// backlogLeast is the part of its aim that a long prompt may always wait for what its
-// engine reads before it, however long it is read itself: in half the time an engine that
-// serves the model at all should be ready to begin.
-const backlogLeast = 0.5
+// minBacklogShare is the share of its aim that a long prompt may always wait for the prefill of
+// others, however long its own prefill takes: an engine that serves the model at all should be
+// able to start within half of the aim.
+const minBacklogShare = 0.5
 
-// backlog is what a call would wait for at an engine.
+// backlog is what a request would wait for at an engine.
 type backlog struct {
-	// before is how long the engine has to read before the call's prompt, and own how long
-	// it reads the prompt itself.
-	before, own time.Duration
-	// waits is set where the prompt waits for that: engines read short ones between the
-	// pieces of long ones.
+	// queued is the engine's prefill time before the request's prompt, own the prefill time of the
+	// prompt itself.
+	queued, own time.Duration
+	// waits is set if the prompt waits for the queued prefill: engines process short prompts
+	// between the chunks of long ones.
 	waits bool
 }
 
-func (f *fleet) backlog(s *server, c *RequestInfo) backlog {
+func (f *fleet) backlog(s *server, info *RequestInfo) backlog {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	o := f.seen(s.view.GetPool())
-	return backlog{before: o.readTime(max(s.unread, 0) + s.others.unread), own: o.readTime(s.uncached(c)), waits: o.isLong(c)}
+	stats := f.poolStats(s.view.GetPool())
+	return backlog{queued: stats.prefillTime(max(s.pendingPrefill, 0) + s.others.pendingPrefill), own: stats.prefillTime(s.uncached(info)), waits: stats.isLong(info)}
 }
 
-// tooLong reports whether a call of a route with an aim should not be sent: its first event
-// would be late. Callers leave after some times their aim. On the busiest engines of a
-// fleet the prompts to be read grew to ten seconds: nearly all that an engine read then was
-// of callers who had left or were about to, and every second request of its model failed.
-// Of what 1.5 times as many ask as three engines can read, 27 in 378 were served in time
-// and 164 late by engines that were sent all; see the test for what they serve now.
-func (b backlog) tooLong(aim time.Duration) bool {
-	least := time.Duration(backlogLeast * float64(aim))
-	return aim > 0 && b.waits && b.before > max(aim-b.own, least)
+// exceeds reports whether the first event of a request on a route with this aim would be late,
+// so that the request should not be sent. Callers disconnect after some multiple of the aim.
+// Without this limit the pending prefill at the busiest engines grew to ten seconds: nearly all
+// of it was for callers that had disconnected or were about to, and every second request of the
+// model failed. With 1.5 times the demand that three engines can process and no limit, 27 of
+// 378 requests were served in time and 164 late; TestBacklogRejectionUnderOverload checks the
+// result with the limit.
+func (b backlog) exceeds(aim time.Duration) bool {
+	minimum := time.Duration(minBacklogShare * float64(aim))
+	return aim > 0 && b.waits && b.queued > max(aim-b.own, minimum)
 }
 
-// backlogged refuses a request at once whose engine, the best there is, has so much to read
-// before it that it would be answered late or not at all. It would keep those behind it
-// waiting as well. Its caller is told when the engine should have read about half of what
-// a request may wait for, each a time of its own, so that they don't all meet again.
-func (x *exchange) backlogged() bool {
-	if x.call.Model == "" || x.runs > 0 {
+// rejectedByBacklog rejects a request at once if its engine, the best one available, has so
+// much pending prefill that the response would be late or never start; the request would also
+// delay those behind it. The Retry-After is when the engine should have processed about half of
+// what a request may wait for, plus a random delay, so that the callers don't all return at the
+// same time.
+func (x *exchange) rejectedByBacklog() bool {
+	if x.info.Model == "" || x.runs > 0 {
 		return false
 	}
 	aim := time.Duration(x.route.GetAimMs()) * time.Millisecond
-	b := x.g.fleet.backlog(x.server, &x.call)
-	if !b.tooLong(aim) {
+	b := x.g.fleet.backlog(x.server, &x.info)
+	if !b.exceeds(aim) {
 		return false
 	}
 	spread := time.Duration(x.random(int(aim/time.Millisecond))) * time.Millisecond
-	x.giveUp(OutcomeBusy, b.before-aim/2+spread)
+	x.fail(OutcomeBusy, b.queued-aim/2+spread)
 	return true
 }
--- a/internal/gateway/backlog_test.go
+++ b/internal/gateway/backlog_test.go
@@ -10,132 +10,132 @@
 	"fennelyard/internal/gateway"
 )
 
-// overload plays engines that read prompts one after the other, and callers of long prompts
-// who come evenly for a while, faster than the engines can read, and leave after some time
-// without a first event.
-type overload struct {
+// overloadSimulation simulates engines that process prompts one after another, and callers with
+// long prompts that arrive at a constant rate for a while, faster than the engines can process
+// them, and disconnect after some time without a first event.
+type overloadSimulation struct {
 	engines *gateway.Engines
-	// rate is how many tokens an engine reads in a millisecond, and every how many
-	// milliseconds a caller comes.
-	rate  float64
-	every int
-	aim   time.Duration
-	// refuses is set where callers are refused whose engine has too much to read.
-	refuses bool
+	// prefillRate is in tokens per millisecond and engine.
+	prefillRate       float64
+	arrivalIntervalMs int
+	aim               time.Duration
+	// rejects is set if requests are rejected whose engine has too large a backlog.
+	rejects bool
 
-	queues                        map[string][]*waitingCall
-	inTime, late, left, turnedOff int
+	queues                            map[string][]*queuedRequest
+	inTime, late, abandoned, rejected int
 }
 
-type waitingCall struct {
-	call   *gateway.RequestInfo
-	came   int
-	unread float64
+type queuedRequest struct {
+	info          *gateway.RequestInfo
+	arrivedMs     int
+	pendingTokens float64
 }
 
 const (
-	overloadLeave  = 4800 // ms
-	overloadLength = 20000
-	overloadPrompt = 9000
+	abandonAfterMs       = 4800
+	arrivalsMs           = 20000
+	overloadPromptTokens = 9000
 )
 
-func (o *overload) run() {
-	o.engines.Allow(600 * time.Millisecond)
-	o.engines.Read(o.rate)
-	o.queues = map[string][]*waitingCall{}
-	for now := range overloadLength + overloadLeave {
-		if now < overloadLength && now%o.every == 0 {
-			o.come(now)
+func (o *overloadSimulation) run() {
+	o.engines.SetMinGap(600 * time.Millisecond)
+	o.engines.ObservePrefillRate(o.prefillRate)
+	o.queues = map[string][]*queuedRequest{}
+	for nowMs := range arrivalsMs + abandonAfterMs {
+		if nowMs < arrivalsMs && nowMs%o.arrivalIntervalMs == 0 {
+			o.arrive(nowMs)
 		}
 		for id := range o.queues {
-			o.read(id, now)
+			o.tick(id, nowMs)
 		}
 	}
 }
 
-func (o *overload) come(now int) {
-	c := &gateway.RequestInfo{Model: "m", PromptTokens: int(overloadPrompt * o.rate / 38)}
-	if o.refuses && o.engines.TooLong(c, o.aim) {
-		o.turnedOff++
+func (o *overloadSimulation) arrive(nowMs int) {
+	info := &gateway.RequestInfo{Model: "m", PromptTokens: int(overloadPromptTokens * o.prefillRate / 38)}
+	if o.rejects && o.engines.ExceedsBacklog(info, o.aim) {
+		o.rejected++
 		return
 	}
-	id := o.engines.Send(c)
-	o.queues[id] = append(o.queues[id], &waitingCall{c, now, float64(c.PromptTokens)})
+	id := o.engines.Send(info)
+	o.queues[id] = append(o.queues[id], &queuedRequest{info, nowMs, float64(info.PromptTokens)})
 }
 
-// read passes a millisecond at an engine: callers who have waited for too long leave, and
-// it reads on at the first of the others.
-func (o *overload) read(id string, now int) {
-	kept := o.queues[id][:0]
-	for _, w := range o.queues[id] {
-		if now-w.came < overloadLeave {
-			kept = append(kept, w)
+// tick simulates a millisecond at an engine: callers that have waited too long disconnect, and
+// the engine continues with the first of the others.
+func (o *overloadSimulation) tick(id string, nowMs int) {
+	waiting := o.queues[id][:0]
+	for _, request := range o.queues[id] {
+		if nowMs-request.arrivedMs < abandonAfterMs {
+			waiting = append(waiting, request)
 			continue
 		}
-		o.left++
-		o.over(id, w)
+		o.abandoned++
+		o.finish(id, request)
 	}
-	o.queues[id] = kept
-	if len(kept) == 0 {
+	o.queues[id] = waiting
+	if len(waiting) == 0 {
 		return
 	}
-	w := kept[0]
-	if w.unread -= o.rate; w.unread > 0 {
+	request := waiting[0]
+	if request.pendingTokens -= o.prefillRate; request.pendingTokens > 0 {
 		return
 	}
-	o.queues[id] = kept[1:]
-	o.over(id, w)
-	if now-w.came <= int(o.aim.Milliseconds()) {
+	o.queues[id] = waiting[1:]
+	o.finish(id, request)
+	if nowMs-request.arrivedMs <= int(o.aim.Milliseconds()) {
 		o.inTime++
 	} else {
 		o.late++
 	}
 }
 
-func (o *overload) over(id string, w *waitingCall) {
-	o.engines.HasRead(id, w.call.PromptTokens)
-	o.engines.End(id, w.call)
+func (o *overloadSimulation) finish(id string, request *queuedRequest) {
+	o.engines.PrefillDone(id, request.info.PromptTokens)
+	o.engines.RequestEnded(id, request.info)
 }
 
-// A model has become busy, and the engines that have it can read two thirds of what is
-// asked. Sent to them all the same, callers wait for nearly as long as they have patience,
-// and hardly one is served in time. Refused at once where the engine has too much to read,
-// as many are served, most of them in time, however fast the engines are; the others know
-// at once, and none leaves unserved after he has waited.
-func TestOverloadedEnginesServeInTimeWhatTheyCan(t *testing.T) {
+// The engines that have a model can process two thirds of the demand for it. Without
+// rejections, requests wait for nearly as long as their callers stay, and hardly one is served
+// in time. With requests rejected at once where the engine's backlog is too large, as many are
+// served, most of them in time and at any engine speed, and no caller disconnects without a
+// response after a wait.
+func TestBacklogRejectionUnderOverload(t *testing.T) {
 	for _, speed := range []float64{1. / 3, 1, 3} {
 		t.Run(fmt.Sprint(speed), func(t *testing.T) {
-			play := func(refuses bool) *overload {
-				o := &overload{engines: gateway.NewEngines(3), rate: 38 * speed, every: 53, aim: time.Second, refuses: refuses}
-				o.run()
-				return o
+			simulate := func(rejects bool) *overloadSimulation {
+				simulation := &overloadSimulation{engines: gateway.NewEngines(3), prefillRate: 38 * speed, arrivalIntervalMs: 53, aim: time.Second, rejects: rejects}
+				simulation.run()
+				return simulation
 			}
-			before, after := play(false), play(true)
-			t.Logf("in time, late, left, refused: %d %d %d %d before, %d %d %d %d after",
-				before.inTime, before.late, before.left, before.turnedOff, after.inTime, after.late, after.left, after.turnedOff)
-			served := before.inTime + before.late
-			require.Less(t, before.inTime, served/3)
-			require.GreaterOrEqual(t, after.inTime+after.late, served*9/10)
-			require.GreaterOrEqual(t, after.inTime, served*2/3)
-			require.Zero(t, after.left)
+			unlimited, limited := simulate(false), simulate(true)
+			t.Logf("on time, late, abandoned, rejected: %d %d %d %d without a limit, %d %d %d %d with it",
+				unlimited.inTime, unlimited.late, unlimited.abandoned, unlimited.rejected, limited.inTime, limited.late, limited.abandoned, limited.rejected)
+			served := unlimited.inTime + unlimited.late
+			require.Less(t, unlimited.inTime, served/3)
+			require.GreaterOrEqual(t, limited.inTime+limited.late, served*9/10)
+			require.GreaterOrEqual(t, limited.inTime, served*2/3)
+			require.Zero(t, limited.abandoned)
 		})
 	}
 }
 
-// Engines that have little to read refuse nobody, and a short prompt waits for no long one.
-func TestNobodyIsRefusedWhoWouldBeServedInTime(t *testing.T) {
+// Engines with a small backlog reject no request, and a short prompt does not wait for long
+// ones.
+func TestBacklogAcceptsRequestsServedInTime(t *testing.T) {
 	e := gateway.NewEngines(1)
-	e.Allow(600 * time.Millisecond)
-	e.Read(38)
-	long := &gateway.RequestInfo{Model: "m", PromptTokens: 18000}
-	longest := &gateway.RequestInfo{Model: "m", PromptTokens: 72000}
-	require.False(t, e.TooLong(longest, time.Second))
-	e.Send(long)
-	require.False(t, e.TooLong(long, time.Second))
-	require.False(t, e.TooLong(longest, time.Second))
-	e.Send(long)
-	require.True(t, e.TooLong(long, time.Second))
-	require.False(t, e.TooLong(long, 2*time.Second))
-	require.False(t, e.TooLong(long, 0))
-	require.False(t, e.TooLong(&gateway.RequestInfo{Model: "m", PromptTokens: 700}, 800*time.Millisecond))
+	e.SetMinGap(600 * time.Millisecond)
+	e.ObservePrefillRate(38)
+	longInfo := &gateway.RequestInfo{Model: "m", PromptTokens: 18000}
+	longestInfo := &gateway.RequestInfo{Model: "m", PromptTokens: 72000}
+	require.False(t, e.ExceedsBacklog(longestInfo, time.Second))
+	e.Send(longInfo)
+	require.False(t, e.ExceedsBacklog(longInfo, time.Second))
+	require.False(t, e.ExceedsBacklog(longestInfo, time.Second))
+	e.Send(longInfo)
+	require.True(t, e.ExceedsBacklog(longInfo, time.Second))
+	require.False(t, e.ExceedsBacklog(longInfo, 2*time.Second))
+	require.False(t, e.ExceedsBacklog(longInfo, 0))
+	require.False(t, e.ExceedsBacklog(&gateway.RequestInfo{Model: "m", PromptTokens: 700}, 800*time.Millisecond))
 }
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -5,65 +5,67 @@
 	"time"
 )
 
-// budgetShare is the part of the allowance that is used: entries that come and
-// go know each other's number with a delay.
-const budgetShare = 0.8
+// usableBudgetShare is the share of the budget that is used: the number of entries is known
+// with a delay when entries come and go.
+const usableBudgetShare = 0.8
 
-// RetryBudgetConfig bounds the dispatches of all entries beyond the first of each
-// request: in any window, ratio of the requests plus slack.
+// RetryBudgetConfig bounds the retries of all entries together: in any window, at most Ratio
+// times the number of requests plus Burst.
 type RetryBudgetConfig struct {
 	Ratio  float64
 	Window time.Duration
 	Burst  int
 }
 
-// budget is this entry's part of the allowance for one pool. A request earns
-// its ratio; the slack is split between the entries, one half to be there at
-// once and the other to come in over a window, so that no window sees more than
-// the whole. It starts empty: the entry that ran here before may have spent all.
-type budget struct {
+// retryBudget is this entry's share of the retry budget of one pool. A request deposits its
+// ratio. The burst is divided between the entries: one half is the limit of the balance, the
+// other half refills over a window, so that no window exceeds the whole. The balance starts at
+// 0, as an earlier process of this entry may have spent it.
+type retryBudget struct {
 	cfg RetryBudgetConfig
 
-	mu    sync.Mutex
-	left  float64
-	asked time.Time
+	mu         sync.Mutex
+	balance    float64
+	refilledAt time.Time
 }
 
-func newBudget(cfg RetryBudgetConfig, now time.Time) *budget { return &budget{cfg: cfg, asked: now} }
+func newRetryBudget(cfg RetryBudgetConfig, now time.Time) *retryBudget {
+	return &retryBudget{cfg: cfg, refilledAt: now}
+}
 
-func (b *budget) cap(entries int) float64 {
-	return budgetShare * float64(b.cfg.Burst) / 2 / float64(max(entries, 1))
+func (b *retryBudget) limit(entries int) float64 {
+	return usableBudgetShare * float64(b.cfg.Burst) / 2 / float64(max(entries, 1))
 }
 
-func (b *budget) grow(now time.Time, entries int) {
-	b.left = min(b.left+b.cap(entries)*now.Sub(b.asked).Seconds()/b.cfg.Window.Seconds(), b.cap(entries))
-	b.asked = now
+func (b *retryBudget) refill(now time.Time, entries int) {
+	b.balance = min(b.balance+b.limit(entries)*now.Sub(b.refilledAt).Seconds()/b.cfg.Window.Seconds(), b.limit(entries))
+	b.refilledAt = now
 }
 
-// earn notes a request.
-func (b *budget) earn(now time.Time, entries int) {
+// deposit adds the share of one request.
+func (b *retryBudget) deposit(now time.Time, entries int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.grow(now, entries)
-	b.left = min(b.left+b.cfg.Ratio*budgetShare, b.cap(entries))
+	b.refill(now, entries)
+	b.balance = min(b.balance+b.cfg.Ratio*usableBudgetShare, b.limit(entries))
 }
 
-// spend takes one repeated dispatch, or returns false when none is left.
-func (b *budget) spend(now time.Time, entries int) bool {
+// withdraw takes one retry from the budget; it returns false if none is left.
+func (b *retryBudget) withdraw(now time.Time, entries int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.grow(now, entries)
-	if b.left < 1 {
+	b.refill(now, entries)
+	if b.balance < 1 {
 		return false
 	}
-	b.left--
+	b.balance--
 	return true
 }
 
-// peek reports whether spend would succeed.
-func (b *budget) peek(now time.Time, entries int) bool {
+// available reports whether withdraw would succeed.
+func (b *retryBudget) available(now time.Time, entries int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.grow(now, entries)
-	return b.left >= 1
+	b.refill(now, entries)
+	return b.balance >= 1
 }
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -10,112 +10,112 @@
 )
 
 const (
-	// runCost is what one more request costs those that run beside it: each takes
+	// runCostMs is the cost of one more request to the requests that run beside it: each takes
 	// part in every step of the engine.
-	runCost = 4.0 // ms
-	// spreadAfter is after how many requests that share a prompt part an engine gives
-	// some to the next in the part's order: a hot part spreads after a handful waits,
-	// for the price of reading it once more.
-	spreadAfter = 6.0
+	runCostMs = 4.0
+	// spreadAfterRequests is the number of requests with the same prompt part after which an
+	// engine shares them with the next engine in the part's rendezvous order: a popular part
+	// spreads once a handful of requests wait, at the price of one more prefill of it.
+	spreadAfterRequests = 6.0
 )
 
-// choose returns the best server for a call, or nil when none can serve it.
-// Servers in not are passed over; those that failed lately go last.
-func (f *fleet) choose(pool string, c *RequestInfo, not []string, now time.Time, random func(int) int) *server {
+// choose returns the best server for a request, or nil if none can serve it. Servers in
+// excluded are skipped; ejected servers are used only if no other is left.
+func (f *fleet) choose(pool string, info *RequestInfo, excluded []string, now time.Time, random func(int) int) *server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var able []*server
+	var candidates []*server
 	for _, s := range f.servers {
-		if s.view.GetPool() != pool || !s.ready() || slices.Contains(not, s.id) {
+		if s.view.GetPool() != pool || !s.ready() || slices.Contains(excluded, s.id) {
 			continue
 		}
-		if c.Model != "" && !s.holds(c.Model, c.Adapter, now) {
+		if info.Model != "" && !s.hasModel(info.Model, info.Adapter, now) {
 			continue
 		}
-		able = append(able, s)
+		candidates = append(candidates, s)
 	}
-	if in := slices.DeleteFunc(slices.Clone(able), func(s *server) bool { return now.Before(s.out) }); len(in) > 0 {
-		able = in
+	if notEjected := slices.DeleteFunc(slices.Clone(candidates), func(s *server) bool { return now.Before(s.ejectedUntil) }); len(notEjected) > 0 {
+		candidates = notEjected
 	}
-	if len(able) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	if c.Model == "" {
-		return leastBusy(able, random)
+	if info.Model == "" {
+		return leastBusy(candidates, random)
 	}
-	return f.cheapest(able, c, f.seen(pool), now, random)
+	return f.cheapest(candidates, info, f.poolStats(pool), now, random)
 }
 
-// leastBusy picks at random among the servers with the fewest requests of this
-// entry: entries that all took the first one would meet there.
-func leastBusy(able []*server, random func(int) int) *server {
-	slices.SortFunc(able, func(a, b *server) int {
+// leastBusy picks a random one of the servers with the fewest requests of this entry: if all
+// entries took the first one, they would overload it.
+func leastBusy(candidates []*server, random func(int) int) *server {
+	slices.SortFunc(candidates, func(a, b *server) int {
 		return cmp.Or(cmp.Compare(a.running, b.running), cmp.Compare(a.id, b.id))
 	})
 	n := 1
-	for n < len(able) && able[n].running == able[0].running {
+	for n < len(candidates) && candidates[n].running == candidates[0].running {
 		n++
 	}
-	return able[random(n)]
+	return candidates[random(n)]
 }
 
 const (
-	// otherPartCost is what an engine costs that the other sort of prompt has for
-	// itself: as long as a prompt that reads beside them may hold up a stream's events.
-	otherPartCost = 500.0 // ms
-	// shortPart is the part of a model's engines, one in so many, that short
-	// prompts have: they bring few of the tokens to be read.
-	shortPart = 3
+	// otherPartitionCostMs is the cost of an engine that is reserved for the other kind of prompt:
+	// as long as a prefill beside a stream may delay its events.
+	otherPartitionCostMs = 500.0
+	// shortPartitionDivisor is the inverse of the share of a model's engines that short prompts
+	// get: they are a small part of the prefill.
+	shortPartitionDivisor = 3
 )
 
-// otherPart returns the engines that the other sort of prompt has for itself,
-// alike at every entry: short prompts have the last third of a model's engines,
-// long ones the rest, so that reading the long ones does not hold up the events
-// of the short. A request of the other sort comes only when its own part is much
-// busier.
-func otherPart(able []*server, c *RequestInfo, o *observed) map[*server]bool {
-	if len(able) < 2 || !o.apart() {
+// otherPartition returns the engines that are reserved for the other kind of prompt. All
+// entries compute the same partition: short prompts get the last third of a model's engines,
+// long ones the rest, so that long prefills do not delay the events of short requests. A
+// request crosses over only if its own partition is much busier. It returns nil if the engines
+// are not partitioned.
+func otherPartition(candidates []*server, info *RequestInfo, stats *poolStats) map[*server]bool {
+	if len(candidates) < 2 || !stats.separatesLongPrompts() {
 		return nil
 	}
-	order := slices.Clone(able)
+	order := slices.Clone(candidates)
 	slices.SortFunc(order, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(weight(c.Model, b), weight(c.Model, a)), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(rendezvousWeight(info.Model, b), rendezvousWeight(info.Model, a)), cmp.Compare(a.id, b.id))
 	})
-	forLong := len(order) - max(len(order)/shortPart, 1)
-	long := o.isLong(c)
+	longEngines := len(order) - max(len(order)/shortPartitionDivisor, 1)
+	long := stats.isLong(info)
 	other := map[*server]bool{}
 	for i, s := range order {
-		if (i < forLong) != long {
+		if (i < longEngines) != long {
 			other[s] = true
 		}
 	}
 	return other
 }
 
-// cheapest weighs what is known of the engines. Of what the other entries have sent
-// them since their last word nothing is known; it is taken for spread at random.
-// Otherwise all entries send their requests to the engine that was least busy by that
-// word: with 68 entries before engines of 12 slots the busiest had six times the mean.
-func (f *fleet) cheapest(able []*server, c *RequestInfo, o *observed, now time.Time, random func(int) int) *server {
-	key := affinity(c)
-	other, long := otherPart(able, c, o), o.isLong(c)
-	rate, rankCost := o.readRate(), o.shared(c)/spreadAfter
-	unheard := f.unheard(c.Model, len(able), now)
-	slices.SortFunc(able, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(weight(key, b), weight(key, a)), cmp.Compare(a.id, b.id))
+// cheapest returns the engine with the lowest estimated cost. The requests that other entries
+// sent since their last reports are unknown and are assumed to be spread at random. Otherwise
+// all entries would send their requests to the engine with the lowest reported load: with 68
+// entries and engines of 12 slots, the busiest engine had six times the mean load.
+func (f *fleet) cheapest(candidates []*server, info *RequestInfo, stats *poolStats, now time.Time, random func(int) int) *server {
+	key := affinityKey(info)
+	otherEngines, long := otherPartition(candidates, info, stats), stats.isLong(info)
+	prefillRate, rankCost := stats.prefillRate(), stats.sharedPrefillMs(info)/spreadAfterRequests
+	unreported := f.unreportedRequests(info.Model, len(candidates), now)
+	slices.SortFunc(candidates, func(a, b *server) int {
+		return cmp.Or(cmp.Compare(rendezvousWeight(key, b), rendezvousWeight(key, a)), cmp.Compare(a.id, b.id))
 	})
 	var best *server
 	var bestCost float64
-	for rank, s := range able {
+	for rank, s := range candidates {
 		slots, running := int(s.view.GetSlots()), s.running+s.others.running
-		unknown := unheard * float64(random(randomSteps)) / randomSteps
-		cost := float64(s.unread+s.others.unread+s.uncached(c))/rate + rankCost*float64(rank) +
-			runCost*(float64(running)+unknown) + o.slotCost(running+int(math.Round(unknown)), slots)
-		if o.gap > 0 && !long {
-			cost += readingCost * s.reading / rate
+		estimated := unreported * float64(random(randomSteps)) / randomSteps
+		cost := float64(s.pendingPrefill+s.others.pendingPrefill+s.uncached(info))/prefillRate + rankCost*float64(rank) +
+			runCostMs*(float64(running)+estimated) + stats.slotCost(running+int(math.Round(estimated)), slots)
+		if stats.minGap > 0 && !long {
+			cost += pendingPrefillCostFactor * s.meanPendingPrefill / prefillRate
 		}
-		if other[s] {
-			cost += otherPartCost
+		if otherEngines[s] {
+			cost += otherPartitionCostMs
 		}
 		if best == nil || cost < bestCost {
 			best, bestCost = s, cost
@@ -125,29 +125,30 @@
 }
 
 const (
-	// readingOver is over how many messages the reading at an engine is averaged.
-	readingOver = 6.0
-	// readingCost is what a short prompt, whose stream goes on for long, costs for each ms that
-	// its engine has to read on average: prompts read between its events make these late.
-	readingCost = 3.0
+	// averagedLoadUpdates is the number of updates over which an engine's pending prefill is
+	// averaged.
+	averagedLoadUpdates = 6.0
+	// pendingPrefillCostFactor is the cost of a short prompt, whose stream lasts long, for each ms
+	// of the engine's mean pending prefill: prompts processed between its events delay them.
+	pendingPrefillCostFactor = 3.0
 )
 
-// randomSteps is how finely chance is drawn.
+// randomSteps is the resolution of the random estimates.
 const randomSteps = 1024
 
-// affinity names what a call shares with others: the part before its own.
-func affinity(c *RequestInfo) string {
-	switch n := len(c.PromptParts); n {
+// affinityKey identifies what a request shares with others: the prompt part before its own one.
+func affinityKey(info *RequestInfo) string {
+	switch n := len(info.PromptParts); n {
 	case 0:
-		return c.Model
+		return info.Model
 	case 1:
-		return c.Model + "/" + c.PromptParts[0].ID
+		return info.Model + "/" + info.PromptParts[0].ID
 	default:
-		return c.Model + "/" + c.PromptParts[n-2].ID
+		return info.Model + "/" + info.PromptParts[n-2].ID
 	}
 }
 
-// weight orders servers for a key alike at every entry (rendezvous hashing), so
-// that entries send what shares a prompt part to the same engine without a word
-// to each other. A server keeps its place when it starts again.
-func weight(key string, s *server) uint64 { return xxhash.Sum64String(key + "/" + s.server) }
+// rendezvousWeight orders servers for a key in the same way at every entry (rendezvous
+// hashing), so that entries send requests with the same prompt part to the same engine without
+// coordination. A server keeps its position when it restarts.
+func rendezvousWeight(key string, s *server) uint64 { return xxhash.Sum64String(key + "/" + s.server) }
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -11,132 +11,132 @@
 	"fennelyard/internal/schema"
 )
 
-func long(part string) *gateway.RequestInfo {
+func longRequest(part string) *gateway.RequestInfo {
 	return &gateway.RequestInfo{Model: "m", PromptTokens: 9000, PromptParts: []gateway.PromptPart{
 		{ID: "all", Tokens: 2500}, {ID: part, Tokens: 3800}, {ID: "own" + part, Tokens: 2700},
 	}}
 }
 
-func short(part string) *gateway.RequestInfo {
+func shortRequest(part string) *gateway.RequestInfo {
 	return &gateway.RequestInfo{Model: "m", PromptTokens: 800, PromptParts: []gateway.PromptPart{{ID: part, Tokens: 200}, {ID: "own" + part, Tokens: 600}}}
 }
 
-// Entries that have not met send what shares a prompt part to the same engine,
-// which then has read it, and different parts to different ones.
-func TestSharedPartsMeetAtOneEngine(t *testing.T) {
+// Without coordination, all entries send requests with the same prompt part to the same engine,
+// which then has it cached, and different parts to different engines.
+func TestSharedPromptPartsUseOneEngine(t *testing.T) {
 	seen := map[string]bool{}
 	for i := range 20 {
 		part := fmt.Sprint("part-", i)
-		a, b := gateway.NewEngines(9).Send(long(part)), gateway.NewEngines(9).Send(long(part))
+		a, b := gateway.NewEngines(9).Send(longRequest(part)), gateway.NewEngines(9).Send(longRequest(part))
 		require.Equal(t, a, b)
 		seen[a] = true
 	}
 	require.Greater(t, len(seen), 3)
 }
 
-// A part that everybody asks for at once must not queue at one engine while
-// others are idle.
-func TestHotPartSpreads(t *testing.T) {
+// A prompt part with many simultaneous requests must not queue at one engine while others are
+// idle.
+func TestPopularPromptPartSpreads(t *testing.T) {
 	e := gateway.NewEngines(9)
 	seen := map[string]bool{}
 	for i := range 8 {
-		c := long("hot")
-		c.PromptParts[2].ID = fmt.Sprint("own-", i)
-		seen[e.Send(c)] = true
+		info := longRequest("hot")
+		info.PromptParts[2].ID = fmt.Sprint("own-", i)
+		seen[e.Send(info)] = true
 	}
 	require.Greater(t, len(seen), 2)
 }
 
-// Sixty entries have requests for one model and have heard the same of its engines a
-// moment ago. They must not all send to the engine that was least busy then.
-func TestEntriesDoNotMeetAtOneEngine(t *testing.T) {
+// Sixty entries have requests for one model and the same slightly outdated loads of its
+// engines. They must not all send to the engine with the lowest reported load.
+func TestEntriesSpreadOverEngines(t *testing.T) {
 	const entries, engines = 60, 6
-	at := map[string]int{}
+	requests := map[string]int{}
 	for i := range entries {
 		e := gateway.NewEngines(engines)
-		e.Among(entries, uint64(i))
+		e.SetEntries(entries, uint64(i))
 		for j := range 10 {
-			c := short("p")
-			c.PromptParts[1].ID = fmt.Sprint("own", j)
+			info := shortRequest("p")
+			info.PromptParts[1].ID = fmt.Sprint("own", j)
 			if j < 9 {
-				e.Serve(c)
+				e.Serve(info)
 				continue
 			}
-			at[e.Send(c)]++
+			requests[e.Send(info)]++
 		}
 	}
-	for id, n := range at {
+	for id, n := range requests {
 		require.Less(t, n, 3*entries/engines, id)
 	}
 }
 
-// An engine's slots are in use; a request waits there for one to end, and goes to an
-// engine that has room though it has read the prompt's shared part before.
-func TestEnginesWithoutASlotAreLeft(t *testing.T) {
+// All slots of an engine are in use, so that a request would wait there. It goes to an engine
+// with a free slot although the full one has its shared prompt part cached.
+func TestFullEngineIsAvoided(t *testing.T) {
 	e := gateway.NewEngines(2)
-	e.Slots(4)
-	e.Ran(1500 * time.Millisecond)
-	first := e.Peek(short("p"))
-	e.Serve(short("p"))
-	e.Hear(&schema.EngineLoad{Server: first, Running: 4})
-	require.NotEqual(t, first, e.Peek(short("p")))
+	e.SetSlots(4)
+	e.ObserveRunTime(1500 * time.Millisecond)
+	first := e.Choose(shortRequest("p"))
+	e.Serve(shortRequest("p"))
+	e.SetLoads(&schema.EngineLoad{Server: first, Running: 4})
+	require.NotEqual(t, first, e.Choose(shortRequest("p")))
 }
 
-// This entry has sent nothing yet, but the others have filled the engine that it
-// would take: it must know, or all entries would go on to fill it.
-func TestOthersLoadIsSeen(t *testing.T) {
+// This entry has sent nothing yet, but other entries have filled the engine that it would
+// choose. It must take their load into account, or all entries would overload the engine.
+func TestLoadOfOtherEntriesCounts(t *testing.T) {
 	e := gateway.NewEngines(9)
-	first := e.Peek(long("p"))
-	e.Hear(&schema.EngineLoad{Server: first, Running: 12, Unread: 40000})
-	require.NotEqual(t, first, e.Peek(long("p")))
-	e.Hear()
-	require.Equal(t, first, e.Peek(long("p")))
+	first := e.Choose(longRequest("p"))
+	e.SetLoads(&schema.EngineLoad{Server: first, Running: 12, Unread: 40000})
+	require.NotEqual(t, first, e.Choose(longRequest("p")))
+	e.SetLoads()
+	require.Equal(t, first, e.Choose(longRequest("p")))
 }
 
-// Streams of short prompts run beside prompts that are read between their events, and pause
-// for too long: they go to engines that read little, also where nothing is to be read there
-// at the moment.
-func TestShortPromptsAvoidEnginesThatReadMuch(t *testing.T) {
+// The streams of short prompts pause too long at engines that process long prompts between
+// their events. They go to engines with little prefill on average, even if the other engine has
+// none pending at the moment.
+func TestShortPromptsAvoidEnginesWithLongPrefill(t *testing.T) {
 	e := gateway.NewEngines(9)
-	e.Allow(500 * time.Millisecond)
-	first := e.Peek(short("p"))
+	e.SetMinGap(500 * time.Millisecond)
+	first := e.Choose(shortRequest("p"))
 	for range 4 {
-		e.Hear(&schema.EngineLoad{Server: first, Unread: 12000})
-		e.Hear()
+		e.SetLoads(&schema.EngineLoad{Server: first, Unread: 12000})
+		e.SetLoads()
 	}
-	require.NotEqual(t, first, e.Peek(short("p")))
+	require.NotEqual(t, first, e.Choose(shortRequest("p")))
 	for range 40 {
-		e.Hear()
+		e.SetLoads()
 	}
-	require.Equal(t, first, e.Peek(short("p")))
+	require.Equal(t, first, e.Choose(shortRequest("p")))
 }
 
-// What the leader says includes what this entry told it; that must not count
+// The load in the leader's updates includes what this entry reported, which must not count
 // twice.
 func TestOwnLoadCountsOnce(t *testing.T) {
 	e := gateway.NewEngines(9)
-	first := e.Send(long("p"))
-	running, unread := e.Told(first)
+	first := e.Send(longRequest("p"))
+	running, pendingPrefill := e.ReportedLoad(first)
 	require.Equal(t, uint32(1), running)
-	e.Hear(&schema.EngineLoad{Server: first, Running: running, Unread: unread})
-	again := gateway.NewEngines(9)
-	again.Send(long("p"))
-	require.Equal(t, again.Peek(long("p")), e.Peek(long("p")))
+	e.SetLoads(&schema.EngineLoad{Server: first, Running: running, Unread: pendingPrefill})
+	other := gateway.NewEngines(9)
+	other.Send(longRequest("p"))
+	require.Equal(t, other.Choose(longRequest("p")), e.Choose(longRequest("p")))
 }
 
-// Long prompts hold up the events of other requests: where they are most of what
-// there is to read, the two sorts use different engines of a model.
-func TestLongAndShortPromptsKeepApart(t *testing.T) {
+// Long prompts delay the events of other requests: if they are most of the prefill, long and
+// short prompts use different engines of a model.
+func TestLongAndShortPromptsUseSeparateEngines(t *testing.T) {
 	e := gateway.NewEngines(6)
-	e.Allow(500 * time.Millisecond)
+	e.SetMinGap(500 * time.Millisecond)
 	for i := range 200 {
-		e.Serve(long(fmt.Sprint(i)))
-		e.Serve(short(fmt.Sprint(i)))
+		e.Serve(longRequest(fmt.Sprint(i)))
+		e.Serve(shortRequest(fmt.Sprint(i)))
 	}
 	longs, shorts := map[string]bool{}, map[string]bool{}
 	for i := range 40 {
-		longs[e.Peek(long(fmt.Sprint(i)))] = true
-		shorts[e.Peek(short(fmt.Sprint(i)))] = true
+		longs[e.Choose(longRequest(fmt.Sprint(i)))] = true
+		shorts[e.Choose(shortRequest(fmt.Sprint(i)))] = true
 	}
 	require.Len(t, longs, 4)
 	require.Len(t, shorts, 2)
@@ -145,58 +145,57 @@
 	}
 }
 
-// Another deployment's prompts are all short. Its callers must have all engines of
-// a model: pressed onto a third of them, their streams paused and queued there while
-// the others had nothing to do. The same holds while a long prompt comes now and
-// then. Prompts as long as elsewhere are no long ones where engines read ten times as
-// fast: they go where the part that all of them share was read.
-func TestShortPromptsHaveAllEngines(t *testing.T) {
+// Where all prompts are short, requests must use all engines of a model: if restricted to a
+// third of them, their streams pause and queue there while the other engines are idle. The same
+// holds with an occasional long prompt. With engines that are ten times as fast, a prompt of
+// the same length is not long: it goes where the part that all prompts share is cached.
+func TestShortPromptsUseAllEngines(t *testing.T) {
 	for name, x := range map[string]struct {
-		every int
-		rate  float64
-		bulk  func(string) *gateway.RequestInfo
-		least int
+		longEvery  int
+		rate       float64
+		request    func(string) *gateway.RequestInfo
+		minEngines int
 	}{
-		"no long prompt":       {every: 1 << 30, rate: 40, bulk: short, least: 6},
-		"one long in twenty":   {every: 20, rate: 40, bulk: short, least: 6},
-		"fast engines' prompt": {every: 1 << 30, rate: 400, bulk: long, least: 3},
+		"no long prompts":           {longEvery: 1 << 30, rate: 40, request: shortRequest, minEngines: 6},
+		"one long prompt in twenty": {longEvery: 20, rate: 40, request: shortRequest, minEngines: 6},
+		"fast engines":              {longEvery: 1 << 30, rate: 400, request: longRequest, minEngines: 3},
 	} {
 		e := gateway.NewEngines(6)
-		e.Allow(500 * time.Millisecond)
-		e.Read(x.rate)
+		e.SetMinGap(500 * time.Millisecond)
+		e.ObservePrefillRate(x.rate)
 		for i := range 400 {
-			if i%x.every == x.every-1 {
-				e.Serve(long(fmt.Sprint(i)))
+			if i%x.longEvery == x.longEvery-1 {
+				e.Serve(longRequest(fmt.Sprint(i)))
 			}
-			e.Serve(x.bulk(fmt.Sprint(i)))
+			e.Serve(x.request(fmt.Sprint(i)))
 		}
 		seen := map[string]bool{}
 		for i := range 60 {
-			seen[e.Peek(x.bulk(fmt.Sprint(i)))] = true
+			seen[e.Choose(x.request(fmt.Sprint(i)))] = true
 		}
-		require.GreaterOrEqual(t, len(seen), x.least, name)
+		require.GreaterOrEqual(t, len(seen), x.minEngines, name)
 	}
 }
 
-// The rate at which engines read is learned from times to first events, whatever
-// else is in them.
-func TestReadRateIsLearned(t *testing.T) {
+// The prefill rate is estimated from the times to first events, whatever else these times
+// contain.
+func TestPrefillRateEstimate(t *testing.T) {
 	for _, rate := range []float64{13, 40, 120} {
 		e := gateway.NewEngines(1)
-		e.Read(rate)
-		require.InEpsilon(t, rate, e.ReadRate(), 0.15)
+		e.ObservePrefillRate(rate)
+		require.InEpsilon(t, rate, e.PrefillRate(), 0.15)
 	}
 }
 
-func TestFailedEngineGoesLast(t *testing.T) {
-	for _, c := range []*gateway.RequestInfo{long("p"), short("p")} {
+func TestFailedEngineIsChosenLast(t *testing.T) {
+	for _, info := range []*gateway.RequestInfo{longRequest("p"), shortRequest("p")} {
 		e := gateway.NewEngines(2)
-		first := e.Peek(c)
-		e.Fail(first)
-		second := e.Peek(c)
+		first := e.Choose(info)
+		e.RecordFailure(first)
+		second := e.Choose(info)
 		require.NotEqual(t, first, second)
-		// With both failed, one is still chosen.
-		e.Fail(second)
-		require.NotEmpty(t, e.Peek(c))
+		// With both ejected, one is still chosen.
+		e.RecordFailure(second)
+		require.NotEmpty(t, e.Choose(info))
 	}
 }
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -7,154 +7,157 @@
 	"fennelyard/internal/schema"
 )
 
-// target is a model, or an adapter of it, of a pool.
+// target is a model of a pool, or an adapter of the model.
 type target struct {
 	pool    string
 	model   string
 	adapter string
 }
 
-// expectation is the leader's word on a target that requests wait for.
-type expectation struct {
+// loadForecast is the leader's forecast of when a target that requests wait for is loaded.
+type loadForecast struct {
 	at time.Time
-	// ready is when it should be there; the zero time: nothing is on its way.
+	// ready is the expected time; the zero time: no load is planned.
 	ready time.Time
 }
 
-// tally is what happened for a target in a while.
-type tally struct {
+// demandSample is the demand for a target over an interval.
+type demandSample struct {
 	arrived int
-	// reading is for how long engines read what was sent, ran for how long they had
-	// what ended.
-	reading, ran time.Duration
+	// prefillTime is the estimated prefill time of the requests sent, runTime the time that
+	// engines spent on requests that ended.
+	prefillTime, runTime time.Duration
 }
 
-// asked collects what callers ask for, for the leader. All methods are safe
-// from any goroutine.
-type asked struct {
-	// urgent holds a token while the leader should be told at once, and soon while it should
-	// be told before the next word is due.
-	urgent, soon chan struct{}
+// demandTracker collects the callers' demand for models, which is reported to the leader. It is
+// safe for concurrent use.
+type demandTracker struct {
+	// urgent holds a token if a report should leave at once, deferred if one should leave before
+	// the next report interval.
+	urgent, deferred chan struct{}
 
 	mu sync.Mutex
-	// since is what has happened since the last word to the leader; guarded by mu, as
-	// all below.
-	since   map[target]tally
-	waiting map[target]int
-	// told holds the targets whose waiting requests the leader knows of.
-	told     map[target]bool
-	expected map[target]expectation
+	// unreported is the demand since the last report; guarded by mu, as are all fields below.
+	unreported map[target]demandSample
+	waiting    map[target]int
+	// reportedWaiting holds the targets that are reported as waited for.
+	reportedWaiting map[target]bool
+	forecasts       map[target]loadForecast
 }
 
-func newAsked() *asked {
-	return &asked{
-		urgent: make(chan struct{}, 1), soon: make(chan struct{}, 1), since: map[target]tally{}, waiting: map[target]int{},
-		told: map[target]bool{}, expected: map[target]expectation{},
+func newDemandTracker() *demandTracker {
+	return &demandTracker{
+		urgent: make(chan struct{}, 1), deferred: make(chan struct{}, 1), unreported: map[target]demandSample{}, waiting: map[target]int{},
+		reportedWaiting: map[target]bool{}, forecasts: map[target]loadForecast{},
 	}
 }
 
-func (a *asked) arrive(t target) { a.note(t, tally{arrived: 1}) }
+func (d *demandTracker) addArrival(t target) { d.add(t, demandSample{arrived: 1}) }
 
-// read notes for how long an engine will read a request's prompt.
-func (a *asked) read(t target, d time.Duration) { a.note(t, tally{reading: d}) }
+// addPrefillTime adds the estimated time that an engine needs for a request's prefill.
+func (d *demandTracker) addPrefillTime(t target, duration time.Duration) {
+	d.add(t, demandSample{prefillTime: duration})
+}
 
-// end notes for how long an engine had a request.
-func (a *asked) end(t target, d time.Duration) { a.note(t, tally{ran: d}) }
+// addRunTime adds the time that an engine spent on a request.
+func (d *demandTracker) addRunTime(t target, duration time.Duration) {
+	d.add(t, demandSample{runTime: duration})
+}
 
-func (a *asked) note(t target, more tally) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	sum := a.since[t]
-	a.since[t] = tally{sum.arrived + more.arrived, sum.reading + more.reading, sum.ran + more.ran}
+func (d *demandTracker) add(t target, sample demandSample) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	sum := d.unreported[t]
+	d.unreported[t] = demandSample{sum.arrived + sample.arrived, sum.prefillTime + sample.prefillTime, sum.runTime + sample.runTime}
 }
 
-// wait notes that requests begin or end to wait for a target. The leader is told at once of
-// one that it does not know to be waited for, and of more requests for it a moment later,
-// the sooner the fewer entries its host has: told of each at once, on a day on which many
-// waited, 291 entries said so 5,000 times a second to hosts that then had no time left to
-// elect a leader.
-func (a *asked) wait(t target, n int) {
-	a.mu.Lock()
-	a.waiting[t] += n
-	if a.waiting[t] <= 0 {
-		delete(a.waiting, t)
+// addWaiting adds n requests that wait for a target; n is negative when they stop waiting. A
+// target that is not yet reported as waited for is reported at once, more requests for it after
+// a delay that grows with the number of entries that subscribe to the host: with a report for
+// each request, 291 entries under load sent 5,000 reports a second to hosts that then had no
+// time left to elect a leader.
+func (d *demandTracker) addWaiting(t target, n int) {
+	d.mu.Lock()
+	d.waiting[t] += n
+	if d.waiting[t] <= 0 {
+		delete(d.waiting, t)
 	}
-	tell := a.urgent
-	if a.told[t] {
-		tell = a.soon
+	signal := d.urgent
+	if d.reportedWaiting[t] {
+		signal = d.deferred
 	}
-	a.mu.Unlock()
+	d.mu.Unlock()
 	if n > 0 {
 		select {
-		case tell <- struct{}{}:
+		case signal <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func (a *asked) waitingCount() int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (d *demandTracker) waitingCount() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	n := 0
-	for _, w := range a.waiting {
+	for _, w := range d.waiting {
 		n += w
 	}
 	return n
 }
 
-// collect returns what the leader does not know yet. What waits is said each
-// time, what no longer waits once.
-func (a *asked) collect() []*schema.ModelDemand {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// collect returns the unreported demand. Targets with waiting requests are included each time,
+// targets that are no longer waited for once.
+func (d *demandTracker) collect() []*schema.ModelDemand {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	var out []*schema.ModelDemand
 	add := func(t target) {
-		n := a.since[t]
+		sample := d.unreported[t]
 		out = append(out, &schema.ModelDemand{
-			Pool: t.pool, Model: t.model, Adapter: t.adapter, Arrived: uint32(n.arrived), Waiting: uint32(a.waiting[t]),
-			ReadUs: uint64(n.reading.Microseconds()), RanUs: uint64(n.ran.Microseconds()),
+			Pool: t.pool, Model: t.model, Adapter: t.adapter, Arrived: uint32(sample.arrived), Waiting: uint32(d.waiting[t]),
+			ReadUs: uint64(sample.prefillTime.Microseconds()), RanUs: uint64(sample.runTime.Microseconds()),
 		})
-		delete(a.since, t)
+		delete(d.unreported, t)
 	}
-	for t := range a.waiting {
+	for t := range d.waiting {
 		add(t)
 	}
-	for t := range a.told {
-		if a.waiting[t] == 0 {
+	for t := range d.reportedWaiting {
+		if d.waiting[t] == 0 {
 			add(t)
-			delete(a.told, t)
+			delete(d.reportedWaiting, t)
 		}
 	}
-	for t := range a.since {
+	for t := range d.unreported {
 		add(t)
 	}
-	for t := range a.waiting {
-		a.told[t] = true
+	for t := range d.waiting {
+		d.reportedWaiting[t] = true
 	}
 	return out
 }
 
-func (a *asked) forecast(list []*schema.LoadForecast, now time.Time) {
-	if len(list) == 0 {
+func (d *demandTracker) setForecasts(forecasts []*schema.LoadForecast, now time.Time) {
+	if len(forecasts) == 0 {
 		return
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, f := range list {
-		e := expectation{at: now}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, f := range forecasts {
+		forecast := loadForecast{at: now}
 		if f.GetReadyInMs() >= 0 {
-			e.ready = now.Add(time.Duration(f.GetReadyInMs()) * time.Millisecond)
+			forecast.ready = now.Add(time.Duration(f.GetReadyInMs()) * time.Millisecond)
 		}
-		a.expected[target{f.GetPool(), f.GetModel(), f.GetAdapter()}] = e
+		d.forecasts[target{f.GetPool(), f.GetModel(), f.GetAdapter()}] = forecast
 	}
 }
 
-// expect returns the leader's word on a target that came after a moment, or so shortly
-// before that the next one is not due: the leader says anew what is waited for with each
-// word of this entry.
-func (a *asked) expect(t target, after time.Time) (expectation, bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	e, ok := a.expected[t]
-	return e, ok && e.at.After(after.Add(-speakEvery))
+// forecast returns the leader's forecast for a target if it was received after since, or less
+// than a report interval before: the leader repeats the forecasts of targets that are waited
+// for in response to each report of this entry.
+func (d *demandTracker) forecast(t target, since time.Time) (loadForecast, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	f, ok := d.forecasts[t]
+	return f, ok && f.at.After(since.Add(-reportInterval))
 }
--- a/internal/gateway/demand_test.go
+++ b/internal/gateway/demand_test.go
@@ -9,34 +9,35 @@
 	"fennelyard/internal/gateway"
 )
 
-// Callers of an entry wait for a model, and more come for the same one. The leader is told
-// at once of the first; of the others a moment later, as it loads the model already. Told
-// of each at once, hosts before hundreds of entries have no time for more.
-func TestLeaderIsToldAtOnceOfWhatItDoesNotKnow(t *testing.T) {
-	a := gateway.NewAsked()
-	a.Wait("m", 1)
-	require.True(t, a.Urgent())
-	require.Equal(t, map[string]int{"m": 1}, a.Tell())
-	require.False(t, a.Soon())
-	a.Wait("m", 1)
-	require.False(t, a.Urgent())
-	require.True(t, a.Soon())
-	a.Wait("n", 1)
-	require.True(t, a.Urgent())
-	require.Equal(t, map[string]int{"m": 2, "n": 1}, a.Tell())
-	a.Wait("m", -2)
-	require.Equal(t, map[string]int{"m": 0, "n": 1}, a.Tell())
-	a.Wait("m", 1)
-	require.True(t, a.Urgent())
+// Requests at an entry wait for a model, and more arrive for the same one. The first is
+// reported to the leader at once, the others after a delay, as the leader already loads the
+// model: with an immediate report for each request, a host with hundreds of entries has no time
+// for anything else.
+func TestNewDemandIsReportedAtOnce(t *testing.T) {
+	d := gateway.NewDemandTracker()
+	d.AddWaiting("m", 1)
+	require.True(t, d.Urgent())
+	require.Equal(t, map[string]int{"m": 1}, d.Collect())
+	require.False(t, d.Deferred())
+	d.AddWaiting("m", 1)
+	require.False(t, d.Urgent())
+	require.True(t, d.Deferred())
+	d.AddWaiting("n", 1)
+	require.True(t, d.Urgent())
+	require.Equal(t, map[string]int{"m": 2, "n": 1}, d.Collect())
+	d.AddWaiting("m", -2)
+	require.Equal(t, map[string]int{"m": 0, "n": 1}, d.Collect())
+	d.AddWaiting("m", 1)
+	require.True(t, d.Urgent())
 }
 
-// A request that comes just after the leader's word on its model has it, and need not wait
-// for the next; an older word may be long untrue.
-func TestWordOnAModelHoldsForThoseThatComeJustAfter(t *testing.T) {
-	a := gateway.NewAsked()
-	a.Hear("m", 900, someTime)
-	require.True(t, a.Expects("m", someTime.Add(-time.Second)))
-	require.True(t, a.Expects("m", someTime.Add(200*time.Millisecond)))
-	require.False(t, a.Expects("m", someTime.Add(400*time.Millisecond)))
-	require.False(t, a.Expects("n", someTime))
+// A request that arrives just after the forecast for its model uses it and need not wait for
+// the next one; an older forecast may be outdated.
+func TestRecentForecastAppliesToNewRequests(t *testing.T) {
+	d := gateway.NewDemandTracker()
+	d.SetForecast("m", 900, testTime)
+	require.True(t, d.HasForecast("m", testTime.Add(-time.Second)))
+	require.True(t, d.HasForecast("m", testTime.Add(200*time.Millisecond)))
+	require.False(t, d.HasForecast("m", testTime.Add(400*time.Millisecond)))
+	require.False(t, d.HasForecast("n", testTime))
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -17,7 +17,7 @@
 
 //go:generate go tool stringer -type=Outcome -linecomment
 
-// Outcome is how a request ended.
+// Outcome is the result of a request.
 type Outcome int
 
 // The outcomes.
@@ -43,40 +43,39 @@
 )
 
 const (
-	defaultBody = 4 << 20
-	// refuseAfter is when callers are asked to come back where nothing tells a
-	// better time: a little more than a change of leader or of a server takes to
-	// be noticed.
-	refuseAfter = 500 * time.Millisecond
-	// elsewhereAfter is when callers of a stopping entry are asked to come back:
-	// another entry serves them at once.
-	elsewhereAfter = 50 * time.Millisecond
-	// startWait is until how long after its start an entry waits for its first
-	// configuration: a group whose hosts all lost power leads again within a second
-	// and a half of their return, where no host is lost.
-	startWait = 3 * time.Second
-	// minLeft is the least time left with which a request is still sent.
-	minLeft = 10 * time.Millisecond
-	// writeSlack is how long beyond its deadline an answer may take to be written.
+	defaultMaxBodyBytes = 4 << 20
+	// defaultRetryAfter is the Retry-After sent to callers when no better estimate exists:
+	// slightly more than the time to detect a change of leader or the loss of a server.
+	defaultRetryAfter = 500 * time.Millisecond
+	// stoppingRetryAfter is the Retry-After sent by a stopping entry: another entry serves the
+	// caller at once.
+	stoppingRetryAfter = 50 * time.Millisecond
+	// startupWait is how long after its start an entry lets requests wait for the first
+	// configuration. After a power loss of all control hosts the group elects a leader within a
+	// second and a half of their return if no host is lost.
+	startupWait = 3 * time.Second
+	// minTimeLeft is the least time before the deadline with which a request is still forwarded.
+	minTimeLeft = 10 * time.Millisecond
+	// writeSlack is the time beyond the deadline that a response may take to be written.
 	writeSlack = 500 * time.Millisecond
 )
 
-// errCallerGone says that the caller has left or its time is over.
-var errCallerGone = errors.New("the caller has gone")
+// errCallerGone is returned if the caller has disconnected or its deadline has passed.
+var errCallerGone = errors.New("the caller has disconnected")
 
-// errGivenUp says that the attempt was given up for one at another server.
-var errGivenUp = errors.New("the server has shown nothing for long")
+// errAttemptTimeout is returned if an attempt is canceled in favour of one at another server.
+var errAttemptTimeout = errors.New("no response from the server within the attempt timeout")
 
-// exchange is one request of a caller.
+// exchange is one request of a caller and its response.
 type exchange struct {
-	g      *Gateway
-	w      http.ResponseWriter
-	r      *http.Request
-	call   RequestInfo
-	began  time.Time
-	random func(int) int
-
-	table    *table
+	g         *Gateway
+	w         http.ResponseWriter
+	r         *http.Request
+	info      RequestInfo
+	startTime time.Time
+	random    func(int) int
+
+	table    *routeTable
 	route    *schema.Route
 	access   access
 	pool     string
@@ -87,82 +86,85 @@
 	// attempts counts dispatches, runs those that may have run.
 	attempts int
 	runs     int
-	// paid is set where the last attempt was given up with a repeat in hand.
-	paid bool
-	// tried are the servers that are not asked again.
-	tried  []string
-	server *server
+	// retryReserved is set if the last attempt was canceled after a retry was taken from the
+	// budget.
+	retryReserved bool
+	// excluded lists the servers that are not tried again.
+	excluded []string
+	server   *server
 	// waited is how long the request waited for a model.
-	waited time.Duration
-	first  time.Duration
-	// pause is the longest time between two events of the answer.
-	pause time.Duration
-	// atOnce and unread are what this entry had at the last server when it was
-	// chosen: requests, and prompt tokens not read.
-	atOnce int
-	unread int
-	// guarded is the request as the guard knows it; nil: it was not needed yet.
-	guarded *quarantine.KeyedRequest
-	// started is set once a byte of the answer has left.
+	waited          time.Duration
+	timeToFirstByte time.Duration
+	// maxPause is the longest time between two events of the response.
+	maxPause time.Duration
+	// inFlightBefore and pendingPrefillBefore are the load at the last server when it was chosen:
+	// this entry's requests, and the prompt tokens whose prefill was pending.
+	inFlightBefore       int
+	pendingPrefillBefore int
+	// keyed is the request with its key, for the guard; nil until first needed.
+	keyed *quarantine.KeyedRequest
+	// started is set once a byte of the response was sent to the caller.
 	started bool
 	status  int
 	outcome Outcome
 	cause   error
 }
 
-// open finds the route and reads the request; it answers by itself where that
-// fails.
+// open finds the route, authorizes the caller and reads the request. On failure it sends the
+// response itself and returns false.
 func (x *exchange) open() bool {
 	if x.table = x.g.table.Load(); x.table == nil {
-		// Callers leave where a request is not taken off the connection.
-		if !x.read() {
+		// The body is read before waiting for a configuration: callers disconnect if their request is
+		// not read from the connection.
+		if !x.readBody() {
 			return false
 		}
-		x.table = x.firstTable()
+		x.table = x.awaitTable()
 	}
 	if x.table == nil {
-		x.refuse(http.StatusServiceUnavailable, OutcomeNoConfig, refuseAfter)
+		x.reject(http.StatusServiceUnavailable, OutcomeNoConfig, defaultRetryAfter)
 		return false
 	}
 	if x.route = x.table.match(x.r.Host, x.r.URL.Path); x.route == nil {
-		x.refuse(http.StatusNotFound, OutcomeNoRoute, 0)
+		x.reject(http.StatusNotFound, OutcomeNoRoute, 0)
 		return false
 	}
-	return x.authorize() && x.read()
+	return x.authorize() && x.readBody()
 }
 
-// read reads the body, once, and answers by itself where it is broken or too long
-// for the configuration.
-func (x *exchange) read() bool {
-	limit := int64(defaultBody)
+// readBody reads the body once. It sends the response itself and returns false if the body is
+// broken or exceeds the limit of the configuration.
+func (x *exchange) readBody() bool {
+	limit := int64(defaultMaxBodyBytes)
 	if x.table != nil && x.table.limits.GetMaxBodyBytes() > 0 {
 		limit = int64(x.table.limits.GetMaxBodyBytes())
 	}
 	if x.body == nil {
-		// One byte over the limit tells a body that is too long.
+		// Reading one byte over the limit detects a body that is too long.
 		if x.body, x.cause = io.ReadAll(io.LimitReader(x.r.Body, limit+1)); x.cause != nil {
-			x.refuse(http.StatusBadRequest, OutcomeBadBody, 0)
+			x.reject(http.StatusBadRequest, OutcomeBadBody, 0)
 			return false
 		}
 	}
 	if int64(len(x.body)) > limit {
-		x.refuse(http.StatusRequestEntityTooLarge, OutcomeBadBody, 0)
+		x.reject(http.StatusRequestEntityTooLarge, OutcomeBadBody, 0)
 		return false
 	}
 	return true
 }
 
-// firstTable returns the configuration in force. An entry that started a moment
-// ago waits for its first one: it comes as soon as the control group leads, and a
-// caller who is refused meanwhile and told a time is mostly refused again. One
-// that is cut off from the group refuses at once, as it has no word of when.
-func (x *exchange) firstTable() *table {
+// awaitTable returns the current route table, nil if there is none. A request at a newly
+// started entry waits for the first configuration: it arrives as soon as the control group has
+// a leader, and a caller that is rejected with a Retry-After in the meantime is mostly rejected
+// again. An entry that is partitioned from the group after that rejects at once, as it cannot
+// know when a configuration will arrive.
+func (x *exchange) awaitTable() *routeTable {
 	if t := x.g.table.Load(); t != nil {
 		return t
 	}
-	wait := startWait - x.began.Sub(x.g.began)
-	if x.call.Timeout > 0 {
-		wait = min(wait, x.call.Timeout/2)
+	wait := startupWait - x.startTime.Sub(x.g.startTime)
+	if x.info.Timeout > 0 {
+		wait = min(wait, x.info.Timeout/2)
 	}
 	if wait <= 0 {
 		return nil
@@ -172,283 +174,286 @@
 	select {
 	case <-x.g.configured:
 	case <-timer.C:
-	case <-x.g.ended.Done():
+	case <-x.g.aborted.Done():
 	case <-x.r.Context().Done():
 	}
 	return x.g.table.Load()
 }
 
-// serve sends the request to one server after the other until one has answered
-// or nothing more may be done.
+// serve tries one server after another until one has responded or no further attempt is
+// allowed.
 func (x *exchange) serve() {
-	wait := time.Duration(x.route.GetTimeoutMs()) * time.Millisecond
-	if x.call.Timeout > 0 && x.call.Timeout < wait {
-		wait = x.call.Timeout
+	timeout := time.Duration(x.route.GetTimeoutMs()) * time.Millisecond
+	if x.info.Timeout > 0 && x.info.Timeout < timeout {
+		timeout = x.info.Timeout
 	}
-	x.deadline = x.began.Add(wait)
+	x.deadline = x.startTime.Add(timeout)
 	ctx, cancel := context.WithDeadline(x.r.Context(), x.deadline)
 	defer cancel()
-	defer context.AfterFunc(x.g.ended, cancel)()
+	defer context.AfterFunc(x.g.aborted, cancel)()
 	x.ctx = ctx
-	if x.heldBack() {
+	if x.rejectedByQuarantine() {
 		return
 	}
-	x.pool = share(x.route, x.random)
-	x.g.budget(x.pool).earn(x.began, x.g.entryCount())
-	if x.call.Model != "" {
-		x.g.asked.arrive(x.target())
+	x.pool = pickPool(x.route, x.random)
+	x.g.retryBudget(x.pool).deposit(x.startTime, x.g.entryCount())
+	if x.info.Model != "" {
+		x.g.demand.addArrival(x.target())
 	}
-	for x.step() {
+	for x.tryNext() {
 	}
 }
 
-func (x *exchange) target() target { return target{x.pool, x.call.Model, x.call.Adapter} }
+func (x *exchange) target() target { return target{x.pool, x.info.Model, x.info.Adapter} }
 
-// step makes one attempt; it returns whether another one is due.
-func (x *exchange) step() bool {
-	x.g.guard.AwaitProbes(x.ctx, x.subject())
-	if !x.find() || x.heldBack() {
+// tryNext makes one attempt and reports whether another one should follow.
+func (x *exchange) tryNext() bool {
+	x.g.guard.AwaitProbes(x.ctx, x.keyedRequest())
+	if !x.findServer() || x.rejectedByQuarantine() {
 		return false
 	}
-	if x.attempts > 0 && !x.paid && !x.g.budget(x.pool).spend(time.Now(), x.g.entryCount()) {
-		x.giveUp(OutcomeBudget, refuseAfter)
+	if x.attempts > 0 && !x.retryReserved && !x.g.retryBudget(x.pool).withdraw(time.Now(), x.g.entryCount()) {
+		x.fail(OutcomeBudget, defaultRetryAfter)
 		return false
 	}
-	x.paid = false
+	x.retryReserved = false
 	if !x.authenticate() {
 		return false
 	}
-	left := time.Until(x.deadline)
-	if left < minLeft {
-		x.giveUp(OutcomeTimeout, 0)
+	remaining := time.Until(x.deadline)
+	if remaining < minTimeLeft {
+		x.fail(OutcomeTimeout, 0)
 		return false
 	}
-	return x.attempt(left)
+	return x.attempt(remaining)
 }
 
-// find waits for a server that can serve the request.
-func (x *exchange) find() bool {
+// findServer waits for a server that can serve the request.
+func (x *exchange) findServer() bool {
 	for {
-		changed := x.g.fleet.await()
+		changed := x.g.fleet.changes()
 		now := time.Now()
-		if x.server = x.g.fleet.choose(x.pool, &x.call, x.tried, now, x.random); x.server != nil {
-			if x.call.Model == "" && !x.fits() {
+		if x.server = x.g.fleet.choose(x.pool, &x.info, x.excluded, now, x.random); x.server != nil {
+			if x.info.Model == "" && !x.fitsDeadline() {
 				return false
 			}
-			return !x.backlogged()
+			return !x.rejectedByBacklog()
 		}
-		if x.call.Model == "" {
-			x.giveUp(OutcomeNoServer, refuseAfter)
+		if x.info.Model == "" {
+			x.fail(OutcomeNoServer, defaultRetryAfter)
 			return false
 		}
-		if !x.await(changed) {
+		if !x.awaitServer(changed) {
 			return false
 		}
 	}
 }
 
-// attempt sends the request to the chosen server and deals with the answer.
-func (x *exchange) attempt(left time.Duration) bool {
+// attempt sends the request to the chosen server and handles its response. It reports whether
+// another attempt should follow.
+func (x *exchange) attempt(remaining time.Duration) bool {
 	s := x.server
 	x.attempts++
 	ctx, cancel := context.WithCancel(x.ctx)
 	defer cancel()
-	unread, atOnce, before := x.g.fleet.begin(s, &x.call)
-	x.atOnce, x.unread = atOnce, before
-	if x.call.Model != "" {
-		x.g.asked.read(x.target(), x.g.fleet.readTime(x.pool, unread))
-	}
-	read := false
-	markRead := func() {
-		if !read {
-			read = true
-			x.g.fleet.read(s, unread)
+	uncachedTokens, inFlight, pendingBefore := x.g.fleet.requestSent(s, &x.info)
+	x.inFlightBefore, x.pendingPrefillBefore = inFlight, pendingBefore
+	if x.info.Model != "" {
+		x.g.demand.addPrefillTime(x.target(), x.g.fleet.prefillTime(x.pool, uncachedTokens))
+	}
+	prefilled := false
+	markPrefilled := func() {
+		if !prefilled {
+			prefilled = true
+			x.g.fleet.prefillDone(s, uncachedTokens)
 		}
 	}
-	defer markRead()
-	patience := x.patience(cancel, left)
-	defer patience.begin()
-	sent := time.Now()
+	defer markPrefilled()
+	timer := x.newAttemptTimer(cancel, remaining)
+	defer timer.stop()
+	sentAt := time.Now()
 	defer func() {
-		took := time.Since(sent)
-		x.g.fleet.end(s, &x.call, took)
-		if x.call.Model != "" {
-			x.g.asked.end(x.target(), took)
+		took := time.Since(sentAt)
+		x.g.fleet.requestEnded(s, &x.info, took)
+		if x.info.Model != "" {
+			x.g.demand.addRunTime(x.target(), took)
 		}
 	}()
-	markFirst := func() {
-		// What others have there is known late, and would blur what is learned.
-		if !read && x.call.Model != "" && before == 0 {
-			x.g.fleet.firstRead(x.pool, unread, time.Since(sent))
+	onFirstEvent := func() {
+		// The load of other entries at the server is known only with a delay and would distort the
+		// sample.
+		if !prefilled && x.info.Model != "" && pendingBefore == 0 {
+			x.g.fleet.observeFirstEvent(x.pool, uncachedTokens, time.Since(sentAt))
 		}
-		markRead()
+		markPrefilled()
 	}
-	answer, err := x.g.cfg.Sender.Send(ctx, s.address, x.request(left, 0))
+	response, err := x.g.cfg.Sender.Send(ctx, s.address, x.request(remaining, 0))
 	if err != nil {
-		x.paid = !patience.begin()
-		return x.failed(s, err)
+		x.retryReserved = !timer.stop()
+		return x.attemptFailed(s, err)
 	}
-	defer answer.Close()
-	verdict := x.g.cfg.Codec.ParseResponse(answer.Status, answer.Header)
-	if verdict.NotRun {
-		x.paid = !patience.begin()
-		return x.notRun(s, answer, verdict)
+	defer response.Close()
+	responseInfo := x.g.cfg.Codec.ParseResponse(response.Status, response.Header)
+	if responseInfo.NotRun {
+		x.retryReserved = !timer.stop()
+		return x.attemptNotRun(s, response, responseInfo)
 	}
 	x.runs++
-	if x.route.GetStream() && answer.Status == http.StatusOK && verdict.Signed {
-		return x.stream(s, answer, patience, markFirst)
+	if x.route.GetStream() && response.Status == http.StatusOK && responseInfo.Signed {
+		return x.relayStream(s, response, timer, onFirstEvent)
 	}
-	if x.paid = !patience.begin(); x.paid {
-		return x.failedIn(s, errGivenUp)
+	if x.retryReserved = !timer.stop(); x.retryReserved {
+		return x.responseFailed(s, errAttemptTimeout)
 	}
-	defer func() { x.g.pace(x.pool).observe(time.Since(sent)) }()
-	return x.whole(s, answer, verdict)
+	defer func() { x.g.latency(x.pool).observe(time.Since(sentAt)) }()
+	return x.relayResponse(s, response, responseInfo)
 }
 
-func (x *exchange) request(left time.Duration, after int64) *relay.Request {
+func (x *exchange) request(remaining time.Duration, lastEventID int64) *relay.Request {
 	h := relay.EndToEndHeader(x.r.Header)
 	x.g.cfg.Codec.SetForwardHeader(h, ForwardInfo{
-		Server: x.server.server, Timeout: left, LastEventID: after, Priority: x.urgency(), Team: x.teamName(),
+		Server: x.server.server, Timeout: remaining, LastEventID: lastEventID, Priority: x.priority(), Team: x.teamName(),
 	})
-	id := x.call.ID
+	id := x.info.ID
 	return &relay.Request{
 		Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host, Header: h, Body: x.body,
-		MatchesResponse: func(a http.Header) bool { return x.g.cfg.Codec.MatchesRequest(a, id) },
+		MatchesResponse: func(header http.Header) bool { return x.g.cfg.Codec.MatchesRequest(header, id) },
 	}
 }
 
-// failed deals with an attempt that brought no answer.
-func (x *exchange) failed(s *server, err error) bool {
+// attemptFailed handles an attempt without a response.
+func (x *exchange) attemptFailed(s *server, err error) bool {
 	x.cause = err
 	if x.r.Context().Err() != nil {
-		x.giveUp(OutcomeCallerGone, 0)
+		x.fail(OutcomeCallerGone, 0)
 		return false
 	}
-	if x.g.ended.Err() != nil {
-		x.endNow(err)
+	if x.g.aborted.Err() != nil {
+		x.attemptAborted(err)
 		return false
 	}
-	x.g.fleet.bad(s, time.Now())
-	x.brokeOff(s, err)
-	x.tried = append(x.tried, s.id)
+	x.g.fleet.recordFailure(s, time.Now())
+	x.reportInterruption(s, err)
+	x.excluded = append(x.excluded, s.id)
 	if errors.Is(err, relay.ErrNotSent) {
 		x.attempts--
-		return x.timeLeft()
+		return x.hasTimeLeft()
 	}
 	x.runs++
-	return x.timeLeft() && x.repeat()
+	return x.hasTimeLeft() && x.mayRunAgain()
 }
 
-// endNow answers a request whose dispatch the end of this entry broke off.
-func (x *exchange) endNow(err error) {
+// attemptAborted responds to a request whose attempt was interrupted by the stop of this entry.
+func (x *exchange) attemptAborted(err error) {
 	if !errors.Is(err, relay.ErrNotSent) {
 		x.runs++
 	}
-	x.giveUp(OutcomeStopping, elsewhereAfter)
+	x.fail(OutcomeStopping, stoppingRetryAfter)
 }
 
-func (x *exchange) timeLeft() bool {
-	if time.Until(x.deadline) < minLeft {
-		x.giveUp(OutcomeTimeout, 0)
+func (x *exchange) hasTimeLeft() bool {
+	if time.Until(x.deadline) < minTimeLeft {
+		x.fail(OutcomeTimeout, 0)
 		return false
 	}
 	return true
 }
 
-// repeat tells whether a request that may have run may be sent again, and
-// answers it where not.
-func (x *exchange) repeat() bool {
+// mayRunAgain reports whether a request that may have run may be sent again, and otherwise
+// sends the final response.
+func (x *exchange) mayRunAgain() bool {
 	if x.route.GetRepeat() == schema.Repeat_REPEAT_NEVER || x.runs >= int(max(x.route.GetMaxAttempts(), 1)) {
-		x.giveUp(OutcomeUnknown, 0)
+		x.fail(OutcomeUnknown, 0)
 		return false
 	}
 	return true
 }
 
-// notRun deals with a server's word that it did not run the request.
-func (x *exchange) notRun(s *server, answer *relay.Response, v ResponseInfo) bool {
-	x.cause = errors.Newf("server %s: status %d, not run", s.id, answer.Status)
-	if v.Misdirected && x.call.Model != "" {
-		x.g.fleet.lacks(s, x.call.Model, x.call.Adapter, time.Now())
-		return x.timeLeft()
-	}
-	if !v.Misdirected && x.call.Adapter != "" && x.attempts < adapterTries {
-		// The adapter may still be on its way.
-		x.g.fleet.lacks(s, x.call.Model, x.call.Adapter, time.Now())
-		return x.timeLeft()
-	}
-	x.tried = append(x.tried, s.id)
-	if x.attempts >= busyTries {
-		x.giveUp(OutcomeBusy, x.g.pace(x.pool).wait())
+// attemptNotRun handles a server's statement that it did not run the request.
+func (x *exchange) attemptNotRun(s *server, response *relay.Response, responseInfo ResponseInfo) bool {
+	x.cause = errors.Newf("server %s: status %d, not run", s.id, response.Status)
+	if responseInfo.Misdirected && x.info.Model != "" {
+		x.g.fleet.markAbsent(s, x.info.Model, x.info.Adapter, time.Now())
+		return x.hasTimeLeft()
+	}
+	if !responseInfo.Misdirected && x.info.Adapter != "" && x.attempts < maxAdapterAttempts {
+		// The adapter may still be loading.
+		x.g.fleet.markAbsent(s, x.info.Model, x.info.Adapter, time.Now())
+		return x.hasTimeLeft()
+	}
+	x.excluded = append(x.excluded, s.id)
+	if x.attempts >= maxBusyAttempts {
+		x.fail(OutcomeBusy, x.g.latency(x.pool).retryAfter())
 		return false
 	}
-	return x.timeLeft()
+	return x.hasTimeLeft()
 }
 
 const (
-	// adapterTries is how often a server that is loading the adapter is asked.
-	adapterTries = 3
-	// busyTries is how many full servers a request is shown to: with two full
-	// ones of a pool the others most often are as well.
-	busyTries = 3
+	// maxAdapterAttempts is the number of attempts at a server that is loading the adapter.
+	maxAdapterAttempts = 3
+	// maxBusyAttempts is the number of full servers that a request is tried at: with two full
+	// servers in a pool the others are most often full as well.
+	maxBusyAttempts = 3
 )
 
-// giveUp gives the final answer to a request that is not served.
-func (x *exchange) giveUp(o Outcome, after time.Duration) {
+// fail sends the final response to a request that is not served. The status depends on whether
+// the request may have run.
+func (x *exchange) fail(outcome Outcome, retryAfter time.Duration) {
 	status := http.StatusServiceUnavailable
 	switch {
-	case x.started || o == OutcomeCallerGone:
-		x.abort(o)
+	case x.started || outcome == OutcomeCallerGone:
+		x.abort(outcome)
 		return
-	case x.runs == 0 && o == OutcomeUnauthorized:
+	case x.runs == 0 && outcome == OutcomeUnauthorized:
 		status = http.StatusUnauthorized
-	case x.runs > 0 && o == OutcomeTimeout:
+	case x.runs > 0 && outcome == OutcomeTimeout:
 		status = http.StatusGatewayTimeout
 	case x.runs > 0:
 		status = http.StatusBadGateway
 	}
-	x.refuse(status, o, after)
+	x.reject(status, outcome, retryAfter)
 }
 
-// refuse writes an answer of this system's own.
-func (x *exchange) refuse(status int, o Outcome, after time.Duration) {
-	x.status, x.outcome = status, o
+// reject writes an error response of the entry itself.
+func (x *exchange) reject(status int, outcome Outcome, retryAfter time.Duration) {
+	x.status, x.outcome = status, outcome
 	h := x.w.Header()
-	if after > 0 && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests) {
-		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
+	if retryAfter > 0 && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests) {
+		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 2, 64))
 	}
 	h.Set("Content-Length", "0")
 	x.w.WriteHeader(status)
 }
 
-// abort ends an answer that is under way, so that it does not look complete.
-func (x *exchange) abort(o Outcome) {
-	x.status, x.outcome = 0, o
+// abort interrupts a response in progress, so that it does not look complete.
+func (x *exchange) abort(outcome Outcome) {
+	x.status, x.outcome = 0, outcome
 }
 
-// whole passes on an answer without events. It is read to its end first: a
-// broken one can still become another attempt or an honest failure.
-func (x *exchange) whole(s *server, answer *relay.Response, v ResponseInfo) bool {
-	body, err := io.ReadAll(answer.Body)
+// relayResponse forwards a response that is not an event stream. It is read completely first:
+// an interrupted response can still be retried or reported as a failure.
+func (x *exchange) relayResponse(s *server, response *relay.Response, responseInfo ResponseInfo) bool {
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return x.failedIn(s, err)
+		return x.responseFailed(s, err)
 	}
-	success := answer.Status >= 200 && answer.Status < 300
-	if success && !v.Signed || answer.Header.Get("Content-Encoding") != "" {
-		return x.failedIn(s, errors.Newf("status %d without a signature", answer.Status))
+	success := response.Status >= 200 && response.Status < 300
+	if success && !responseInfo.Signed || response.Header.Get("Content-Encoding") != "" {
+		return x.responseFailed(s, errors.Newf("status %d without a signature", response.Status))
 	}
-	x.g.fleet.good(s)
-	x.g.guard.AttemptCompleted(x.subject())
-	if answer.Status >= http.StatusInternalServerError && x.mayRepeatNow() {
-		x.cause = errors.Newf("server %s: status %d", s.id, answer.Status)
-		x.tried = append(x.tried, s.id)
+	x.g.fleet.recordSuccess(s)
+	x.g.guard.AttemptCompleted(x.keyedRequest())
+	if response.Status >= http.StatusInternalServerError && x.canRetryNow() {
+		x.cause = errors.Newf("server %s: status %d", s.id, response.Status)
+		x.excluded = append(x.excluded, s.id)
 		return true
 	}
-	x.pass(answer)
+	x.copyHeader(response)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	x.w.WriteHeader(answer.Status)
-	x.first = time.Since(x.began)
-	x.status, x.outcome = answer.Status, OutcomeServed
+	x.w.WriteHeader(response.Status)
+	x.timeToFirstByte = time.Since(x.startTime)
+	x.status, x.outcome = response.Status, OutcomeServed
 	if !success {
 		x.outcome = OutcomeServerFailed
 	}
@@ -458,32 +463,33 @@
 	return false
 }
 
-// mayRepeatNow also asks whether there is anything to repeat with.
-func (x *exchange) mayRepeatNow() bool {
+// canRetryNow reports whether a request that has run may be retried, and whether a server and a
+// retry of the budget are available.
+func (x *exchange) canRetryNow() bool {
 	if x.route.GetRepeat() != schema.Repeat_REPEAT_WHOLE || x.runs >= int(x.route.GetMaxAttempts()) {
 		return false
 	}
-	if time.Until(x.deadline) < minLeft {
+	if time.Until(x.deadline) < minTimeLeft {
 		return false
 	}
-	tried := slices.Concat(x.tried, []string{x.server.id})
-	return x.g.fleet.choose(x.pool, &x.call, tried, time.Now(), x.random) != nil &&
-		x.g.budget(x.pool).peek(time.Now(), x.g.entryCount())
+	excluded := slices.Concat(x.excluded, []string{x.server.id})
+	return x.g.fleet.choose(x.pool, &x.info, excluded, time.Now(), x.random) != nil &&
+		x.g.retryBudget(x.pool).available(time.Now(), x.g.entryCount())
 }
 
-// failedIn deals with an answer that broke off or is no answer.
-func (x *exchange) failedIn(s *server, err error) bool {
+// responseFailed handles a response that was interrupted or is invalid.
+func (x *exchange) responseFailed(s *server, err error) bool {
 	x.runs--
-	return x.failed(s, err)
+	return x.attemptFailed(s, err)
 }
 
-// pass copies the header of a server's answer.
-func (x *exchange) pass(answer *relay.Response) {
+// copyHeader copies the header of a server's response.
+func (x *exchange) copyHeader(response *relay.Response) {
 	h := x.w.Header()
-	for k, v := range relay.EndToEndHeader(answer.Header) {
+	for k, v := range relay.EndToEndHeader(response.Header) {
 		h[k] = v
 	}
-	// The server's own date stays, or none is made up.
+	// The server's Date is forwarded; without one, net/http must not add its own.
 	if h.Get("Date") == "" {
 		h["Date"] = nil
 	}
@@ -491,10 +497,10 @@
 	_ = http.NewResponseController(x.w).SetWriteDeadline(x.deadline.Add(writeSlack))
 }
 
-// finish logs the request, and ends a broken answer.
+// finish logs the request, and aborts the connection of an interrupted response.
 func (x *exchange) finish() {
-	x.release()
-	x.g.report(x)
+	x.refundQuota()
+	x.g.logRequest(x)
 	if x.status == 0 {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -9,47 +9,47 @@
 	"fennelyard/internal/schema"
 )
 
-// Configure takes changes in as from the leader.
+// Configure applies changes as received from the leader.
 func (g *Gateway) Configure(c *schema.Changes) { g.configure(c) }
 
-// Take takes a leader's word in.
-func (g *Gateway) Take(news *schema.LeaderNews) error {
-	return newAttendant(g).take(news)
+// ApplyUpdate applies an update of the leader.
+func (g *Gateway) ApplyUpdate(update *schema.LeaderNews) error {
+	return newSubscriber(g).applyUpdate(update)
 }
 
-// Believe takes servers in as from the leader.
-func (g *Gateway) Believe(settled bool, views ...*schema.RosterServer) {
-	named := map[string]bool{}
+// ApplyServers applies servers as received from the leader.
+func (g *Gateway) ApplyServers(prune bool, views ...*schema.RosterServer) {
+	known := map[string]bool{}
 	for _, v := range views {
-		named[v.GetId()] = true
+		known[v.GetId()] = true
 	}
-	g.fleet.update(views, settled, named)
+	g.fleet.update(views, prune, known)
 }
 
-// Confirm notes that the configuration was confirmed so long ago.
-func (g *Gateway) Confirm(ago time.Duration) {
-	g.attend.mu.Lock()
-	defer g.attend.mu.Unlock()
-	g.attend.confirmed = time.Now().Add(-ago)
+// SetConfirmationAge sets how long ago the configuration was confirmed.
+func (g *Gateway) SetConfirmationAge(age time.Duration) {
+	g.subscriber.mu.Lock()
+	defer g.subscriber.mu.Unlock()
+	g.subscriber.confirmed = time.Now().Add(-age)
 }
 
-// Answer takes in a host's answer to the message that left so long after the gateway's start,
-// and returns the age of the confirmation.
-func (g *Gateway) Answer(sentAfter, confirmedAge time.Duration) time.Duration {
-	g.attend.confirm(&schema.LeaderNews{EchoUs: uint64(sentAfter.Microseconds()), ConfirmedAgeMs: confirmedAge.Milliseconds()})
-	return time.Since(g.attend.confirmedAt())
+// RecordConfirmation applies a host's update that acknowledges the message sent sentAfter after
+// the gateway's start, and returns the age of the confirmation.
+func (g *Gateway) RecordConfirmation(sentAfter, confirmedAge time.Duration) time.Duration {
+	g.subscriber.recordConfirmation(&schema.LeaderNews{EchoUs: uint64(sentAfter.Microseconds()), ConfirmedAgeMs: confirmedAge.Milliseconds()})
+	return time.Since(g.subscriber.confirmedAt())
 }
 
-// Servers returns the number of servers known.
-func (g *Gateway) Servers() int { return g.fleet.count() }
+// ServerCount returns the number of known servers.
+func (g *Gateway) ServerCount() int { return g.fleet.count() }
 
-// Engines is a set of engines that hold a model m, for tests of the choice.
+// Engines is a set of engines with the model m loaded, for tests of the choice.
 type Engines struct {
 	f      *fleet
 	random func(int) int
 }
 
-// NewEngines returns engines e0, e1 and so on.
+// NewEngines returns the engines e0, e1 and so on.
 func NewEngines(n int) *Engines {
 	f := newFleet()
 	var views []*schema.RosterServer
@@ -62,77 +62,80 @@
 	return &Engines{f, func(int) int { return 0 }}
 }
 
-// Believe takes engines in as from the leader.
-func (e *Engines) Believe(views ...*schema.RosterServer) { e.f.update(views, false, nil) }
+// ApplyServers applies engines as received from the leader.
+func (e *Engines) ApplyServers(views ...*schema.RosterServer) { e.f.update(views, false, nil) }
 
-// Hear takes in what all entries have there.
-func (e *Engines) Hear(loads ...*schema.EngineLoad) { e.f.hear(loads) }
+// SetLoads sets the load of all entries at the engines.
+func (e *Engines) SetLoads(loads ...*schema.EngineLoad) { e.f.setLoads(loads) }
 
-// Send chooses an engine for a call and notes that it was sent there.
-func (e *Engines) Send(c *RequestInfo) string {
-	s := e.f.choose("p", c, nil, time.Now(), e.random)
-	e.f.begin(s, c)
+// Send chooses an engine for a request and records that it was sent there.
+func (e *Engines) Send(info *RequestInfo) string {
+	s := e.f.choose("p", info, nil, time.Now(), e.random)
+	e.f.requestSent(s, info)
 	return s.view.GetId()
 }
 
-// Able reports whether any engine can serve a call.
-func (e *Engines) Able(c *RequestInfo) bool {
-	return e.f.choose("p", c, nil, time.Now(), e.random) != nil
+// HasEngine reports whether any engine can serve a request.
+func (e *Engines) HasEngine(info *RequestInfo) bool {
+	return e.f.choose("p", info, nil, time.Now(), e.random) != nil
 }
 
-// ToRead returns how many of a call's tokens an engine has to read, by its start's key.
-func (e *Engines) ToRead(key string, c *RequestInfo) int { return e.f.servers[key].uncached(c) }
+// UncachedTokens returns the number of a request's tokens that an engine has to prefill, by
+// incarnation key.
+func (e *Engines) UncachedTokens(key string, info *RequestInfo) int {
+	return e.f.servers[key].uncached(info)
+}
 
-// Peek chooses an engine for a call.
-func (e *Engines) Peek(c *RequestInfo) string {
-	return e.f.choose("p", c, nil, time.Now(), e.random).view.GetId()
+// Choose chooses an engine for a request.
+func (e *Engines) Choose(info *RequestInfo) string {
+	return e.f.choose("p", info, nil, time.Now(), e.random).view.GetId()
 }
 
-// Among puts this entry among others, with luck of its own.
-func (e *Engines) Among(entries int, seed uint64) {
-	e.f.among(entries)
+// SetEntries sets the number of entries and the seed of this entry's random numbers.
+func (e *Engines) SetEntries(entries int, seed uint64) {
+	e.f.setEntries(entries)
 	e.random = rand.New(rand.NewPCG(seed, 1)).IntN
 }
 
-// Slots sets how many requests each engine works on at once.
-func (e *Engines) Slots(n uint32) {
+// SetSlots sets the number of requests that each engine runs at once.
+func (e *Engines) SetSlots(n uint32) {
 	for _, s := range e.f.servers {
 		s.view.Slots = n
 	}
 }
 
-// Ran notes how long an engine has a request.
-func (e *Engines) Ran(d time.Duration) { e.f.seen("p").end(d) }
+// ObserveRunTime records how long an engine ran a request.
+func (e *Engines) ObserveRunTime(d time.Duration) { e.f.poolStats("p").observeEnd(d) }
 
-// Allow sets the longest pause of the pool's streams.
-func (e *Engines) Allow(gap time.Duration) { e.f.seen("p").gap = gap }
+// SetMinGap sets the allowed pause between events of the pool's streams.
+func (e *Engines) SetMinGap(gap time.Duration) { e.f.poolStats("p").minGap = gap }
 
-// Serve sends a call and ends it.
-func (e *Engines) Serve(c *RequestInfo) {
-	s := e.f.choose("p", c, nil, time.Now(), e.random)
-	tokens, _, _ := e.f.begin(s, c)
-	e.f.read(s, tokens)
-	e.f.end(s, c, 0)
+// Serve sends a request and ends it.
+func (e *Engines) Serve(info *RequestInfo) {
+	s := e.f.choose("p", info, nil, time.Now(), e.random)
+	tokens, _, _ := e.f.requestSent(s, info)
+	e.f.prefillDone(s, tokens)
+	e.f.requestEnded(s, info, 0)
 }
 
-// Read has first events come as from engines that read so many tokens in a
-// millisecond and take 40 ms for all else.
-func (e *Engines) Read(rate float64) {
+// ObservePrefillRate records first events of engines with this prefill rate, in tokens per
+// millisecond, and 40 ms of other delay.
+func (e *Engines) ObservePrefillRate(rate float64) {
 	for i := range 400 {
 		tokens := i * 37 % 2000
-		e.f.firstRead("p", tokens, 40*time.Millisecond+time.Duration(float64(tokens)/rate*float64(time.Millisecond)))
+		e.f.observeFirstEvent("p", tokens, 40*time.Millisecond+time.Duration(float64(tokens)/rate*float64(time.Millisecond)))
 	}
 }
 
-// ReadRate is what was learned of it.
-func (e *Engines) ReadRate() float64 { return e.f.seen("p").readRate() }
+// PrefillRate returns the estimated prefill rate in tokens per millisecond.
+func (e *Engines) PrefillRate() float64 { return e.f.poolStats("p").prefillRate() }
 
-// Fail notes a failure.
-func (e *Engines) Fail(id string) { e.f.bad(e.f.servers[id], time.Now()) }
+// RecordFailure records a failure of an engine.
+func (e *Engines) RecordFailure(id string) { e.f.recordFailure(e.f.servers[id], time.Now()) }
 
-// Told returns what the leader is told of an engine.
-func (e *Engines) Told(id string) (running, unread uint32) {
-	for _, l := range e.f.loads() {
+// ReportedLoad returns the load that is reported to the leader for an engine.
+func (e *Engines) ReportedLoad(id string) (running, pendingPrefill uint32) {
+	for _, l := range e.f.reportLoads() {
 		if l.GetServer() == id {
 			return l.GetRunning(), l.GetUnread()
 		}
@@ -140,111 +143,114 @@
 	return 0, 0
 }
 
-// FirstWordWait returns how long a host's first word is waited for.
-func FirstWordWait(around int) time.Duration { return firstWordWait(around) }
+// FirstUpdateWait returns the timeout for a host's first update.
+func FirstUpdateWait(failedRounds int) time.Duration { return firstUpdateWait(failedRounds) }
 
-// Patience is the patience of one attempt.
-type Patience struct{ p *patience }
+// AttemptTimer is the timer of one attempt.
+type AttemptTimer struct{ t *attemptTimer }
 
-// NewPatience starts the patience of an attempt that cancel ends.
-func NewPatience(after time.Duration, cancel func(), repeat func() bool) *Patience {
-	return &Patience{newPatience(after, cancel, repeat)}
+// NewAttemptTimer starts the timer of an attempt that cancel ends.
+func NewAttemptTimer(timeout time.Duration, cancel func(), reserveRetry func() bool) *AttemptTimer {
+	return &AttemptTimer{newAttemptTimer(timeout, cancel, reserveRetry)}
 }
 
-// Begin notes that the answer has begun.
-func (p *Patience) Begin() bool { return p.p.begin() }
+// Stop records that the response has started.
+func (t *AttemptTimer) Stop() bool { return t.t.stop() }
 
-// ControlHosts are the control hosts that an entry can attend.
+// ControlHosts is the set of control hosts that an entry can subscribe to.
 type ControlHosts struct{ h *controlHosts }
 
-// NewControlHosts returns what an entry knows that has only seeds.
+// NewControlHosts returns the hosts known to an entry that has only seeds.
 func NewControlHosts(self *schema.RosterEntry, seeds []string) *ControlHosts {
 	return &ControlHosts{newControlHosts(self, func() []string { return seeds })}
 }
 
-// Name takes in which hosts follow the leader.
-func (c *ControlHosts) Name(hosts ...*schema.ControlHost) { c.h.named = hosts }
+// SetFollowers sets the hosts that follow the leader.
+func (c *ControlHosts) SetFollowers(hosts ...*schema.ControlHost) { c.h.followers = hosts }
 
-// Next returns the host to ask next.
+// Next returns the host to try next.
 func (c *ControlHosts) Next(now time.Time) string { return c.h.next(now) }
 
-// Better returns a host that is preferred to another.
-func (c *ControlHosts) Better(than string, now time.Time) string { return c.h.better(than, now) }
+// PreferredTo returns a host that is preferred to the current one.
+func (c *ControlHosts) PreferredTo(current string, now time.Time) string {
+	return c.h.preferredTo(current, now)
+}
 
-// Fail notes that a host was asked in vain, Found that one was not.
-func (c *ControlHosts) Fail(address string, now time.Time) { c.h.fail(address, now) }
+// RecordFailure records a failed attempt at a host.
+func (c *ControlHosts) RecordFailure(address string, now time.Time) { c.h.recordFailure(address, now) }
 
-// Found notes that a host tells what the leader says.
-func (c *ControlHosts) Found(address string) { c.h.found(address) }
+// RecordSuccess records that a host sends the leader's updates.
+func (c *ControlHosts) RecordSuccess(address string) { c.h.recordSuccess(address) }
 
-// Pause is how long to wait before the next host is asked.
-func (c *ControlHosts) Pause() time.Duration { return c.h.pause() }
+// RetryInterval returns the time to wait before the next host is tried.
+func (c *ControlHosts) RetryInterval() time.Duration { return c.h.retryInterval() }
 
-// Asked is what an entry tells of the models that its callers ask for.
-type Asked struct{ a *asked }
+// DemandTracker collects the demand that an entry reports to the leader.
+type DemandTracker struct{ d *demandTracker }
 
-// NewAsked returns one that was asked for nothing.
-func NewAsked() *Asked { return &Asked{newAsked()} }
+// NewDemandTracker returns a tracker without demand.
+func NewDemandTracker() *DemandTracker { return &DemandTracker{newDemandTracker()} }
 
-// Wait has so many more requests wait for a model.
-func (a *Asked) Wait(model string, n int) { a.a.wait(target{"p", model, ""}, n) }
+// AddWaiting adds n requests that wait for a model.
+func (d *DemandTracker) AddWaiting(model string, n int) { d.d.addWaiting(target{"p", model, ""}, n) }
 
-// Tell returns how many requests the next word says that wait for each model.
-func (a *Asked) Tell() map[string]int {
+// Collect returns the number of waiting requests by model in the next report.
+func (d *DemandTracker) Collect() map[string]int {
 	out := map[string]int{}
-	for _, d := range a.a.collect() {
-		out[d.GetModel()] = int(d.GetWaiting())
+	for _, demand := range d.d.collect() {
+		out[demand.GetModel()] = int(demand.GetWaiting())
 	}
 	return out
 }
 
-// Urgent reports whether a word is to leave at once.
-func (a *Asked) Urgent() bool {
+// Urgent reports whether a report should leave at once.
+func (d *DemandTracker) Urgent() bool {
 	select {
-	case <-a.a.urgent:
+	case <-d.d.urgent:
 		return true
 	default:
 		return false
 	}
 }
 
-// Soon reports whether a word is to leave before the next one is due.
-func (a *Asked) Soon() bool {
+// Deferred reports whether a report should leave before the next report interval.
+func (d *DemandTracker) Deferred() bool {
 	select {
-	case <-a.a.soon:
+	case <-d.d.deferred:
 		return true
 	default:
 		return false
 	}
 }
 
-// Hear takes in the leader's word on a model at a moment.
-func (a *Asked) Hear(model string, readyMs int64, at time.Time) {
-	a.a.forecast([]*schema.LoadForecast{{Pool: "p", Model: model, ReadyInMs: readyMs}}, at)
+// SetForecast sets the leader's forecast for a model as received at a time.
+func (d *DemandTracker) SetForecast(model string, readyMs int64, at time.Time) {
+	d.d.setForecasts([]*schema.LoadForecast{{Pool: "p", Model: model, ReadyInMs: readyMs}}, at)
 }
 
-// Expects reports whether a request that began at a moment has the leader's word.
-func (a *Asked) Expects(model string, began time.Time) bool {
-	_, ok := a.a.expect(target{"p", model, ""}, began)
+// HasForecast reports whether a request that started at a time has a forecast.
+func (d *DemandTracker) HasForecast(model string, start time.Time) bool {
+	_, ok := d.d.forecast(target{"p", model, ""}, start)
 	return ok
 }
 
-// TooLong reports whether a call with an aim is refused, as the engine that it would be
-// sent to has too much to read.
-func (e *Engines) TooLong(c *RequestInfo, aim time.Duration) bool {
-	return e.f.backlog(e.f.choose("p", c, nil, time.Now(), e.random), c).tooLong(aim)
+// ExceedsBacklog reports whether a request with an aim is rejected because the engine that it
+// would be sent to has too large a backlog.
+func (e *Engines) ExceedsBacklog(info *RequestInfo, aim time.Duration) bool {
+	return e.f.backlog(e.f.choose("p", info, nil, time.Now(), e.random), info).exceeds(aim)
 }
 
-// HasRead notes that an engine has read tokens that were sent to it, End that a call has
-// ended there.
-func (e *Engines) HasRead(id string, tokens int) { e.f.read(e.f.servers[id], tokens) }
+// PrefillDone records that an engine has processed prompt tokens that were sent to it.
+func (e *Engines) PrefillDone(id string, tokens int) { e.f.prefillDone(e.f.servers[id], tokens) }
 
-// End notes that a call has ended at an engine.
-func (e *Engines) End(id string, c *RequestInfo) { e.f.end(e.f.servers[id], c, 0) }
+// RequestEnded records the end of a request at an engine.
+func (e *Engines) RequestEnded(id string, info *RequestInfo) {
+	e.f.requestEnded(e.f.servers[id], info, 0)
+}
 
-// Suspected returns how many servers have ended, as far as this entry has found, under the
-// request under which most have.
-func (g *Gateway) Suspected() int {
+// MaxEndedServers returns the largest number of servers that this entry has found to have ended
+// under the same request.
+func (g *Gateway) MaxEndedServers() int {
 	most := 0
 	list, _ := g.guard.Suspects().Since(0, quarantine.PartAll)
 	for _, s := range list {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -10,130 +10,130 @@
 	"fennelyard/internal/schema"
 )
 
-// fleet is the set of backend servers that this entry knows. All methods are
-// safe from any goroutine.
+// fleet is the set of backend servers that this entry knows. It is safe for concurrent use.
 type fleet struct {
 	mu      sync.Mutex
 	servers map[string]*server
-	// starts counts the incarnations among them by the server's id.
-	starts  map[string]int
-	changed chan struct{}
-	// entries is how many entries there are, and sent how often this one sends requests
-	// for each model.
-	entries int
-	sent    map[string]*arrivals
-	// pools is what was observed of each pool's engines and prompts.
-	pools map[string]*observed
+	// incarnations counts the incarnations in servers by server id.
+	incarnations map[string]int
+	changed      chan struct{}
+	// entries is the number of entries, and sendRates the rate of this entry's requests by model.
+	entries   int
+	sendRates map[string]*arrivalRate
+	// stats holds the observed statistics of the engines and prompts of each pool.
+	stats map[string]*poolStats
 }
 
 func newFleet() *fleet {
-	return &fleet{servers: map[string]*server{}, starts: map[string]int{}, changed: make(chan struct{}), pools: map[string]*observed{}, sent: map[string]*arrivals{}}
+	return &fleet{servers: map[string]*server{}, incarnations: map[string]int{}, changed: make(chan struct{}), stats: map[string]*poolStats{}, sendRates: map[string]*arrivalRate{}}
 }
 
-// seen returns what was observed of a pool; mu is held.
-func (f *fleet) seen(pool string) *observed {
-	o := f.pools[pool]
-	if o == nil {
-		o = newObserved()
-		f.pools[pool] = o
+// poolStats returns the statistics of a pool; the caller holds mu.
+func (f *fleet) poolStats(pool string) *poolStats {
+	stats := f.stats[pool]
+	if stats == nil {
+		stats = newPoolStats()
+		f.stats[pool] = stats
 	}
-	return o
+	return stats
 }
 
-// gaps takes in the shortest pauses that the configuration allows each pool.
-func (f *fleet) gaps(t *table) {
+// setGaps sets the shortest pause between events that the configuration allows for each pool.
+func (f *fleet) setGaps(t *routeTable) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name := range t.pools {
-		f.seen(name).gap = t.gaps[name]
+		f.poolStats(name).minGap = t.minGaps[name]
 	}
 }
 
-// firstRead notes how long the first event of a request took that had so many
-// tokens to be read before it.
-func (f *fleet) firstRead(pool string, tokens int, took time.Duration) {
+// observeFirstEvent records the time to the first event of a request with this many tokens of
+// pending prefill, its own included.
+func (f *fleet) observeFirstEvent(pool string, tokens int, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.seen(pool).read(tokens, took)
+	f.poolStats(pool).observeFirstEvent(tokens, took)
 }
 
-// reading returns how many tokens a pool's engines seem to read in a millisecond,
-// and whether some of them are set apart for long prompts.
-func (f *fleet) reading(pool string) (rate int, apart bool) {
+// prefillRate returns the estimated prefill rate of a pool's engines in tokens per millisecond,
+// and whether some engines are reserved for long prompts.
+func (f *fleet) prefillRate(pool string) (rate int, separated bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	o := f.seen(pool)
-	return int(o.readRate()), o.apart()
+	stats := f.poolStats(pool)
+	return int(stats.prefillRate()), stats.separatesLongPrompts()
 }
 
-// readTime is how long a pool's engines read so many tokens.
-func (f *fleet) readTime(pool string, tokens int) time.Duration {
+// prefillTime returns the time that a pool's engines need for the prefill of this many tokens.
+func (f *fleet) prefillTime(pool string, tokens int) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seen(pool).readTime(tokens)
+	return f.poolStats(pool).prefillTime(tokens)
 }
 
-// update takes the leader's word in. With settled, named holds every server that
-// the leader knows, and all others are gone.
-func (f *fleet) update(views []*schema.RosterServer, settled bool, named map[string]bool) {
+// update applies the servers of a leader's update. With prune, known holds every server that
+// the leader knows, and all others are removed.
+func (f *fleet) update(views []*schema.RosterServer, prune bool, known map[string]bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, v := range views {
 		old := f.servers[v.GetId()]
 		switch {
 		case v.GetState() == schema.RosterState_ROSTER_STATE_GONE:
-			f.drop(v.GetId())
+			f.removeEnded(v.GetId())
 		case old == nil:
 			f.add(newServer(v))
 		case !old.ready() && v.GetState() == schema.RosterState_ROSTER_STATE_READY:
-			// What was said to leave never comes back: a new leader may not know.
+			// A server that is leaving never becomes ready again; a new leader may not know that it is
+			// leaving.
 		default:
 			old.update(v)
 		}
 	}
-	if settled {
+	if prune {
 		for id := range f.servers {
-			if !named[id] {
+			if !known[id] {
 				f.remove(id)
 			}
 		}
 	}
-	f.announce()
+	f.notifyChanged()
 }
 
-// add takes a server in, in place of its earlier starts: what they held is gone, and a
-// leader that never knew them does not say so. mu is held.
+// add adds a server and removes its earlier incarnations: their models and caches are gone, and
+// a leader that never knew them does not report their end. The caller holds mu.
 func (f *fleet) add(s *server) {
-	if f.starts[s.server] > 0 {
-		born := incarnation.Parse(s.id).StartMs
+	if f.incarnations[s.server] > 0 {
+		startMs := incarnation.Parse(s.id).StartMs
 		for id, old := range f.servers {
-			if old.server == s.server && incarnation.Parse(id).StartMs < born {
+			if old.server == s.server && incarnation.Parse(id).StartMs < startMs {
 				f.remove(id)
 			}
 		}
 	}
 	f.servers[s.id] = s
-	f.starts[s.server]++
+	f.incarnations[s.server]++
 }
 
-// remove leaves out an incarnation; mu is held.
+// remove removes an incarnation; the caller holds mu.
 func (f *fleet) remove(id string) {
 	s := f.servers[id]
 	if s == nil {
 		return
 	}
 	delete(f.servers, id)
-	if f.starts[s.server]--; f.starts[s.server] == 0 {
-		delete(f.starts, s.server)
+	if f.incarnations[s.server]--; f.incarnations[s.server] == 0 {
+		delete(f.incarnations, s.server)
 	}
 }
 
-// drop leaves out an incarnation, or all of a server where its id stands alone: a leader
-// that knows none of its starts passes on that it has ended. mu is held.
-func (f *fleet) drop(key string) {
+// removeEnded removes an incarnation, or all incarnations of a server if the key is a server id
+// alone: a leader that knows none of its incarnations forwards that the server has ended. The
+// caller holds mu.
+func (f *fleet) removeEnded(key string) {
 	f.remove(key)
 	name := incarnation.Parse(key)
-	if name.StartMs != 0 || f.starts[name.Server] == 0 {
+	if name.StartMs != 0 || f.incarnations[name.Server] == 0 {
 		return
 	}
 	for id, s := range f.servers {
@@ -143,13 +143,13 @@
 	}
 }
 
-func (f *fleet) announce() {
+func (f *fleet) notifyChanged() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// await returns a channel that is closed at the next change.
-func (f *fleet) await() <-chan struct{} {
+// changes returns a channel that is closed at the next change.
+func (f *fleet) changes() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
@@ -161,7 +161,7 @@
 	return len(f.servers)
 }
 
-// readyCount is the number of servers that take new work.
+// readyCount returns the number of servers that accept new work.
 func (f *fleet) readyCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -174,16 +174,17 @@
 	return n
 }
 
-// loads returns what this entry has at the engines, for the leader.
-func (f *fleet) loads() []*schema.EngineLoad {
+// reportLoads returns this entry's load at the engines for a report to the leader, and records
+// it as reported.
+func (f *fleet) reportLoads() []*schema.EngineLoad {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []*schema.EngineLoad
 	for id, s := range f.servers {
-		s.told = load{s.running, s.unread}
+		s.reported = load{s.running, s.pendingPrefill}
 		if len(s.models) > 0 && s.running > 0 {
 			out = append(out, &schema.EngineLoad{
-				Server: id, Running: uint32(s.running), Unread: uint32(max(s.unread, 0)),
+				Server: id, Running: uint32(s.running), Unread: uint32(max(s.pendingPrefill, 0)),
 				Models: slices.Sorted(maps.Keys(s.runs)),
 			})
 		}
@@ -191,9 +192,9 @@
 	return out
 }
 
-// hear takes in what all entries have at the engines. This entry's own part, as
-// it told it last, is taken off: of its own it knows the present.
-func (f *fleet) hear(loads []*schema.EngineLoad) {
+// setLoads sets the load of all entries at the engines. The last reported load of this entry is
+// subtracted, as its own current load is known.
+func (f *fleet) setLoads(loads []*schema.EngineLoad) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
@@ -202,105 +203,108 @@
 	for _, l := range loads {
 		if s := f.servers[l.GetServer()]; s != nil {
 			s.others = load{
-				running: max(int(l.GetRunning())-s.told.running, 0),
-				unread:  max(int(l.GetUnread())-s.told.unread, 0),
+				running:        max(int(l.GetRunning())-s.reported.running, 0),
+				pendingPrefill: max(int(l.GetUnread())-s.reported.pendingPrefill, 0),
 			}
 		}
 	}
 	for _, s := range f.servers {
-		s.reading += (float64(max(s.unread, 0)+s.others.unread) - s.reading) / readingOver
+		s.meanPendingPrefill += (float64(max(s.pendingPrefill, 0)+s.others.pendingPrefill) - s.meanPendingPrefill) / averagedLoadUpdates
 	}
 }
 
-// begin notes that a request is about to be sent. It returns how many of its
-// tokens the server has to read, and what was there before: requests of
-// this entry, and tokens of all entries that are not read.
-func (f *fleet) begin(s *server, c *RequestInfo) (tokens, running, unread int) {
+// requestSent records that a request is about to be sent. It returns the number of the
+// request's tokens that the server has to prefill, and the load before: this entry's requests,
+// and the pending prefill of all entries.
+func (f *fleet) requestSent(s *server, info *RequestInfo) (tokens, running, pendingPrefill int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	tokens, running, unread = s.uncached(c), s.running, s.unread+s.others.unread
+	tokens, running, pendingPrefill = s.uncached(info), s.running, s.pendingPrefill+s.others.pendingPrefill
 	s.running++
-	if c.Model != "" {
-		s.count(c, 1)
-		f.sentFor(c.Model).note(time.Now())
-		f.seen(s.view.GetPool()).arrive(c)
+	if info.Model != "" {
+		s.addRuns(info, 1)
+		f.sendRate(info.Model).add(time.Now())
+		f.poolStats(s.view.GetPool()).observeArrival(info)
 	}
-	s.unread += tokens
-	s.remember(c)
-	return tokens, running, unread
+	s.pendingPrefill += tokens
+	s.recordPromptParts(info)
+	return tokens, running, pendingPrefill
 }
 
-// read notes that the prompt of a request was read.
-func (f *fleet) read(s *server, unread int) {
+// prefillDone records the end of a request's prefill.
+func (f *fleet) prefillDone(s *server, tokens int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.unread -= unread
+	s.pendingPrefill -= tokens
 }
 
-// sentFor returns how often this entry sends requests for a model; mu is held.
-func (f *fleet) sentFor(model string) *arrivals {
-	a := f.sent[model]
+// sendRate returns the rate of this entry's requests for a model; the caller holds mu.
+func (f *fleet) sendRate(model string) *arrivalRate {
+	a := f.sendRates[model]
 	if a == nil {
-		a = &arrivals{}
-		f.sent[model] = a
+		a = &arrivalRate{}
+		f.sendRates[model] = a
 	}
 	return a
 }
 
-// unheard is how many requests for a model the other entries send to each of its
-// engines, so many, between two words of the leader: as many as this one, as callers
-// choose entries at random.
-func (f *fleet) unheard(model string, engines int, now time.Time) float64 {
-	return f.sentFor(model).rateAt(now) * float64(max(f.entries-1, 0)) * loadLag.Seconds() / float64(engines)
+// unreportedRequests estimates how many requests for a model the other entries sent to each of
+// its engines since their last reports. Each entry is assumed to send as many as this one, as
+// callers choose entries at random. The caller holds mu.
+func (f *fleet) unreportedRequests(model string, engines int, now time.Time) float64 {
+	return f.sendRate(model).rateAt(now) * float64(max(f.entries-1, 0)) * meanLoadAge.Seconds() / float64(engines)
 }
 
-// loadLag is how old the others' loads are on average: entries tell theirs each 300 ms,
-// the leader sums them up each 100 ms and tells the sum each 300 ms.
-const loadLag = 400 * time.Millisecond
+// meanLoadAge is the mean age of the other entries' loads: entries report every 300 ms, the
+// leader aggregates the reports every 100 ms and sends the sums every 300 ms.
+const meanLoadAge = 400 * time.Millisecond
 
-// among notes how many entries there are.
-func (f *fleet) among(entries int) {
+// setEntries sets the number of entries.
+func (f *fleet) setEntries(entries int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.entries = entries
 }
 
-// end notes that a request is over there, and for how long it was.
-func (f *fleet) end(s *server, c *RequestInfo, took time.Duration) {
+// requestEnded records the end of a request at a server, and how long it ran there.
+func (f *fleet) requestEnded(s *server, info *RequestInfo, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if c.Model != "" {
-		f.seen(s.view.GetPool()).end(took)
+	if info.Model != "" {
+		f.poolStats(s.view.GetPool()).observeEnd(took)
 	}
 	s.running--
-	s.count(c, -1)
+	s.addRuns(info, -1)
 }
 
-// takesWork reports whether a server takes new work, as far as is known.
-func (f *fleet) takesWork(s *server) bool {
+// isReady reports whether a server is known to accept new work.
+func (f *fleet) isReady(s *server) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return s.ready()
 }
 
-// good and bad note whether the server answered.
-func (f *fleet) good(s *server) {
+// recordSuccess records that a server responded: it is no longer ejected.
+func (f *fleet) recordSuccess(s *server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.strikes = 0
-	s.out = time.Time{}
+	s.consecutiveFailures = 0
+	s.ejectedUntil = time.Time{}
 }
 
-func (f *fleet) bad(s *server, now time.Time) {
+// recordFailure records that a server did not respond, and ejects it, for longer with each failure
+// in a row.
+func (f *fleet) recordFailure(s *server, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.out = now.Add(min(ejectFirst<<min(s.strikes, 4), ejectMost))
-	s.strikes++
+	s.ejectedUntil = now.Add(min(minEjection<<min(s.consecutiveFailures, 4), maxEjection))
+	s.consecutiveFailures++
 }
 
-// lacks notes that a server refused a request for want of a model or adapter.
-func (f *fleet) lacks(s *server, model, adapter string, now time.Time) {
+// markAbsent records that a server rejected a request because it does not have the model or
+// adapter.
+func (f *fleet) markAbsent(s *server, model, adapter string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s.absent[model+"/"+adapter] = now.Add(absentFor)
+	s.absentUntil[model+"/"+adapter] = now.Add(absentDuration)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -19,35 +19,33 @@
 	"fennelyard/internal/schema"
 )
 
-// Config configures a Gateway. All fields are required unless they say
-// otherwise.
+// Config configures a Gateway. All fields are required unless stated otherwise.
 type Config struct {
 	Self *schema.RosterEntry
-	// Seeds returns the peer addresses of a few control hosts.
+	// Seeds returns the peer addresses of some control hosts.
 	Seeds func() []string
-	// Dialer is not closed by the gateway.
+	// Dialer is owned by the caller: Close does not close it.
 	Dialer      *peer.Dialer
 	Replica     *ledger.Replica
 	Sender      *relay.Sender
 	Codec       Codec
 	RetryBudget RetryBudgetConfig
-	// KeyRevocation is how long after its removal an API key may still be accepted; 0: not
-	// bounded.
+	// KeyRevocation bounds how long a removed API key may still be accepted; 0 is unbounded.
 	KeyRevocation time.Duration
-	// QuotaWindow is the window over which teams' quotas are counted.
+	// QuotaWindow is the window over which the quotas of teams are counted.
 	QuotaWindow time.Duration
-	// Log takes changes of what is believed, Requests one line for each request.
+	// Log receives changes of the known cluster state, RequestLog one line for each request.
 	Log        logr.Logger
 	RequestLog logr.Logger
-	// OnRequestDone, where set, is told of each request's end.
+	// OnRequestDone, if set, is called at the end of each request.
 	OnRequestDone func(RequestStats)
 }
 
-// RequestStats is how a request ended, for metrics.
+// RequestStats describes a finished request, for metrics.
 type RequestStats struct {
-	// RouteKind is the sort of route: stream or whole, with what may be repeated.
+	// RouteKind is the kind of the route: streamed or not, and what may be retried.
 	RouteKind string
-	// Team is the caller's team, empty for none.
+	// Team is the name of the caller's team, empty for none.
 	Team            string
 	Outcome         Outcome
 	Status          int
@@ -56,122 +54,123 @@
 	Attempts        int
 }
 
-// Gateway serves callers' requests. All methods are safe from any goroutine.
+// Gateway serves the requests of callers. It is safe for concurrent use.
 type Gateway struct {
-	cfg    Config
-	fleet  *fleet
-	asked  *asked
-	attend *attendant
-	// guard holds requests back that end the servers that run them.
+	cfg        Config
+	fleet      *fleet
+	demand     *demandTracker
+	subscriber *subscriber
+	// guard quarantines requests that end the servers that run them.
 	guard *quarantine.Guard
-	// quotas are the teams' quotas, as far as this entry uses them.
+	// quotas tracks the usage of teams' quotas at this entry.
 	quotas *quota.Meter
-	table  atomic.Pointer[table]
-	// began is when the gateway started, and configured is closed at its first
-	// configuration.
-	began      time.Time
+	table  atomic.Pointer[routeTable]
+	// startTime is when the gateway started. configured is closed once the first configuration is
+	// applied.
+	startTime  time.Time
 	configured chan struct{}
 	entries    atomic.Pointer[[]*schema.RosterEntry]
-	stopping   atomic.Bool
-	// sendBy is until when a stopping gateway sends requests on; nil: it does not
-	// stop.
-	sendBy   atomic.Pointer[time.Time]
-	inFlight atomic.Int64
-	// ended is canceled when every request must have its final answer at once.
-	ended context.Context
-	end   context.CancelFunc
-	stop  chan struct{}
-	done  chan struct{}
-	once  sync.Once
+	draining   atomic.Bool
+	// sendDeadline is the time after which a draining gateway forwards no more requests; nil if it
+	// is not draining.
+	sendDeadline atomic.Pointer[time.Time]
+	inFlight     atomic.Int64
+	// aborted is canceled when every request must get its final response at once.
+	aborted context.Context
+	abort   context.CancelFunc
+	stop    chan struct{}
+	done    chan struct{}
+	once    sync.Once
 
 	mu sync.Mutex
-	// budgets and paces are kept by pool; guarded by mu.
-	budgets map[string]*budget
-	paces   map[string]*pace
+	// retryBudgets and latencies are keyed by pool; guarded by mu.
+	retryBudgets map[string]*retryBudget
+	latencies    map[string]*latency
 }
 
-// New starts a gateway. It refuses requests until it knows a configuration.
+// New starts a gateway. It rejects requests until it has a configuration.
 func New(cfg Config) *Gateway {
 	g := &Gateway{
-		cfg: cfg, fleet: newFleet(), asked: newAsked(), began: time.Now(), configured: make(chan struct{}),
+		cfg: cfg, fleet: newFleet(), demand: newDemandTracker(), startTime: time.Now(), configured: make(chan struct{}),
 		stop: make(chan struct{}), done: make(chan struct{}),
-		budgets: map[string]*budget{}, paces: map[string]*pace{},
+		retryBudgets: map[string]*retryBudget{}, latencies: map[string]*latency{},
 	}
-	g.attend = newAttendant(g)
-	g.quotas = quota.NewMeter(quota.MeterConfig{Window: cfg.QuotaWindow, Random: rand.Float64}, g.began)
+	g.subscriber = newSubscriber(g)
+	g.quotas = quota.NewMeter(quota.MeterConfig{Window: cfg.QuotaWindow, Random: rand.Float64}, g.startTime)
 	g.guard = quarantine.NewGuard(quarantine.GuardConfig{
-		Entry: cfg.Self.GetCallerAddress(), Probe: cfg.Sender.Probe, OnChange: g.speakSoon, Log: cfg.Log,
+		Entry: cfg.Self.GetCallerAddress(), Probe: cfg.Sender.Probe, OnChange: g.reportNow, Log: cfg.Log,
 	})
-	g.ended, g.end = context.WithCancel(context.Background())
+	g.aborted, g.abort = context.WithCancel(context.Background())
 	go func() {
 		defer close(g.done)
-		g.attend.run()
+		g.subscriber.run()
 	}()
 	return g
 }
 
-// Ready reports whether requests can be served: a configuration is known and
-// the gateway does not prepare to stop.
-func (g *Gateway) Ready() bool { return g.table.Load() != nil && !g.stopping.Load() }
+// Ready reports whether requests can be served: a configuration is known and the gateway is not
+// draining.
+func (g *Gateway) Ready() bool { return g.table.Load() != nil && !g.draining.Load() }
 
-// StartDraining tells the leader, and with it all entries, to send callers here no
-// longer. Requests are served on, but none is sent to a server after sendBy: what
-// still waits then is refused as not run, and another entry can take it.
-func (g *Gateway) StartDraining(sendBy time.Time) {
-	g.sendBy.Store(&sendBy)
-	g.stopping.Store(true)
-	g.speakSoon()
+// StartDraining reports to the leader, and through it to all entries, that callers must no
+// longer be sent here. Requests are still served, but none is forwarded to a server after
+// sendDeadline: requests that still wait then are rejected as not run, so that another entry
+// can serve them.
+func (g *Gateway) StartDraining(sendDeadline time.Time) {
+	g.sendDeadline.Store(&sendDeadline)
+	g.draining.Store(true)
+	g.reportNow()
 }
 
-// speakSoon has the next word to the leader leave at once.
-func (g *Gateway) speakSoon() {
+// reportNow makes the next report to the control host leave without delay.
+func (g *Gateway) reportNow() {
 	select {
-	case g.asked.urgent <- struct{}{}:
+	case g.demand.urgent <- struct{}{}:
 	default:
 	}
 }
 
-// InFlight returns the number of requests at hand.
+// InFlight returns the number of requests in flight.
 func (g *Gateway) InFlight() int { return int(g.inFlight.Load()) }
 
-// AbortRequests gives every request its final answer at once, whatever its server does.
-// Answers that are under way break off.
-func (g *Gateway) AbortRequests() { g.end() }
+// AbortRequests sends every request its final response at once, whatever the state of its
+// server. Responses in progress are interrupted.
+func (g *Gateway) AbortRequests() { g.abort() }
 
-// Close ends the stream to the leader.
+// Close aborts all requests and ends the subscription to the control host.
 func (g *Gateway) Close() {
-	g.end()
+	g.abort()
 	g.once.Do(func() { close(g.stop) })
 	g.guard.Close()
 	<-g.done
 }
 
-// Done is closed when the gateway has stopped.
+// Done returns a channel that is closed when the gateway has stopped.
 func (g *Gateway) Done() <-chan struct{} { return g.done }
 
-// State is what a gateway believes, for metrics.
+// State is a snapshot of the gateway's known state, for metrics.
 type State struct {
 	Version int64
-	// Servers are known, and Ready of them take new work.
+	// Servers is the number of known servers, Ready the number of those that accept new work.
 	Servers int
 	Ready   int
 	Entries int
 	Waiting int
-	// HeldBack counts the requests that are held back, as they end their servers.
+	// HeldBack is the number of requests that are held back because they end their servers.
 	HeldBack int
-	// LeaderAge is how long ago the leader spoke; negative: never.
+	// LeaderAge is the time since the leader was last known to lead; negative: never.
 	LeaderAge time.Duration
-	// ControlHost is the control host that tells this entry what the leader says, "": none, and
-	// Streams counts the streams to such hosts.
+	// ControlHost is the control host that this entry subscribes to, empty for none. Subscriptions
+	// counts the subscriptions since the start.
 	ControlHost   string
 	Subscriptions uint64
 }
 
-// State returns what the gateway believes.
+// State returns a snapshot of the known state.
 func (g *Gateway) State() State {
 	s := State{
-		Servers: g.fleet.count(), Ready: g.fleet.readyCount(), Entries: g.entryCount(), Waiting: g.asked.waitingCount(), HeldBack: g.guard.Suspects().HeldBackCount(), LeaderAge: g.attend.age(),
-		ControlHost: g.attend.attended(), Subscriptions: g.attend.streams.Load(),
+		Servers: g.fleet.count(), Ready: g.fleet.readyCount(), Entries: g.entryCount(), Waiting: g.demand.waitingCount(), HeldBack: g.guard.Suspects().HeldBackCount(), LeaderAge: g.subscriber.leaderAge(),
+		ControlHost: g.subscriber.currentHost(), Subscriptions: g.subscriber.subscriptions.Load(),
 	}
 	if t := g.table.Load(); t != nil {
 		s.Version = int64(t.version)
@@ -179,32 +178,32 @@
 	return s
 }
 
-// configure takes changes of the configuration in.
-func (g *Gateway) configure(c *schema.Changes) {
-	before := g.cfg.Replica.Revision()
-	g.cfg.Replica.Apply(c)
-	if len(c.GetRecords()) == 0 && !c.GetWhole() {
+// configure applies changes of the configuration.
+func (g *Gateway) configure(changes *schema.Changes) {
+	previousRevision := g.cfg.Replica.Revision()
+	g.cfg.Replica.Apply(changes)
+	if len(changes.GetRecords()) == 0 && !changes.GetWhole() {
 		return
 	}
-	var t *table
-	g.cfg.Replica.View(func(r *ledger.Records) { t = newTable(r) })
-	old := g.table.Load()
-	if t == nil || old != nil && t.version < old.version {
-		// A configuration never goes back within the life of an entry.
+	var t *routeTable
+	g.cfg.Replica.View(func(r *ledger.Records) { t = newRouteTable(r) })
+	previous := g.table.Load()
+	if t == nil || previous != nil && t.version < previous.version {
+		// The configuration version never decreases during the lifetime of an entry.
 		return
 	}
-	g.fleet.gaps(t)
+	g.fleet.setGaps(t)
 	g.table.Store(t)
-	if old == nil {
+	if previous == nil {
 		close(g.configured)
 	}
-	if old == nil || t.version != old.version {
-		g.cfg.Log.Info("configuration in force", "version", t.version, "routes", len(g.routes(t)), "pools", len(t.pools),
-			"revision", c.GetRevision(), "revision-before", before)
+	if previous == nil || t.version != previous.version {
+		g.cfg.Log.Info("configuration in force", "version", t.version, "routes", len(g.allRoutes(t)), "pools", len(t.pools),
+			"revision", changes.GetRevision(), "revision-before", previousRevision)
 	}
 }
 
-func (g *Gateway) routes(t *table) []*schema.Route {
+func (g *Gateway) allRoutes(t *routeTable) []*schema.Route {
 	var out []*schema.Route
 	for _, r := range t.byHost {
 		out = append(out, r...)
@@ -212,20 +211,20 @@
 	return out
 }
 
-func (g *Gateway) logServers(news *schema.LeaderNews) {
-	for _, s := range news.GetServers() {
-		held := 0
+func (g *Gateway) logServers(update *schema.LeaderNews) {
+	for _, s := range update.GetServers() {
+		loaded := 0
 		for _, m := range s.GetModels() {
-			held += 1 + len(m.GetAdapters())
+			loaded += 1 + len(m.GetAdapters())
 		}
-		g.cfg.Log.V(1).Info("server believed", "server", s.GetId(), "state", s.GetState().String(), "held", held,
-			"sequence", news.GetSequence())
+		g.cfg.Log.V(1).Info("server believed", "server", s.GetId(), "state", s.GetState().String(), "held", loaded,
+			"sequence", update.GetSequence())
 	}
 }
 
 func (g *Gateway) setEntries(list []*schema.RosterEntry) {
 	g.entries.Store(&list)
-	g.fleet.among(len(list))
+	g.fleet.setEntries(len(list))
 	g.cfg.Log.Info("entries believed", "count", len(list))
 }
 
@@ -236,57 +235,56 @@
 	return 0
 }
 
-// Entries returns the caller addresses of the entries that callers may be sent
-// to, those in a data centre first. While the leader has not said anything yet
-// it is this entry alone.
+// Entries returns the caller addresses of the entries that accept callers, those of the given
+// data centre first. Before the first update of the leader it is this entry alone.
 func (g *Gateway) Entries(dataCentre string) []string {
-	var near, far []string
+	var local, remote []string
 	if list := g.entries.Load(); list != nil {
 		for _, e := range *list {
 			if e.GetDataCentre() == dataCentre {
-				near = append(near, e.GetCallerAddress())
+				local = append(local, e.GetCallerAddress())
 			} else {
-				far = append(far, e.GetCallerAddress())
+				remote = append(remote, e.GetCallerAddress())
 			}
 		}
 	}
-	all := slices.Concat(near, far)
+	all := slices.Concat(local, remote)
 	if len(all) == 0 && g.Ready() {
 		all = append(all, g.cfg.Self.GetCallerAddress())
 	}
 	return all
 }
 
-func (g *Gateway) budget(pool string) *budget {
+func (g *Gateway) retryBudget(pool string) *retryBudget {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	b := g.budgets[pool]
+	b := g.retryBudgets[pool]
 	if b == nil {
-		// It grows from the start on, not from the first request, which could not be sent
-		// again.
-		b = newBudget(g.cfg.RetryBudget, g.began)
-		g.budgets[pool] = b
+		// The budget refills from the start of the gateway rather than from the first request of the
+		// pool, which otherwise could not be retried.
+		b = newRetryBudget(g.cfg.RetryBudget, g.startTime)
+		g.retryBudgets[pool] = b
 	}
 	return b
 }
 
-func (g *Gateway) pace(pool string) *pace {
+func (g *Gateway) latency(pool string) *latency {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	p := g.paces[pool]
-	if p == nil {
-		p = &pace{}
-		g.paces[pool] = p
+	l := g.latencies[pool]
+	if l == nil {
+		l = &latency{}
+		g.latencies[pool] = l
 	}
-	return p
+	return l
 }
 
-// ServeHTTP implements http.Handler for callers' requests.
+// ServeHTTP implements http.Handler for the requests of callers.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
-	x := &exchange{g: g, w: w, r: r, began: time.Now(), random: rand.IntN}
-	x.call = g.cfg.Codec.ParseRequest(r)
+	x := &exchange{g: g, w: w, r: r, startTime: time.Now(), random: rand.IntN}
+	x.info = g.cfg.Codec.ParseRequest(r)
 	defer x.finish()
 	if x.open() {
 		x.serve()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -25,7 +25,7 @@
 	"fennelyard/internal/schema"
 )
 
-// codec is a small one of the tests' own.
+// codec returns a minimal codec for the tests.
 func codec() gateway.Codec {
 	return gateway.Codec{
 		ParseRequest: func(r *http.Request) gateway.RequestInfo {
@@ -42,25 +42,25 @@
 				h.Set("X-After", strconv.FormatInt(m.LastEventID, 10))
 			}
 		},
-		MatchesRequest: func(a http.Header, id string) bool { return a.Get("X-Id") == id },
-		ParseResponse: func(status int, a http.Header) gateway.ResponseInfo {
+		MatchesRequest: func(header http.Header, id string) bool { return header.Get("X-Id") == id },
+		ParseResponse: func(status int, header http.Header) gateway.ResponseInfo {
 			return gateway.ResponseInfo{
-				NotRun: a.Get("X-Not-Run") != "", Misdirected: status == http.StatusMisdirectedRequest, Signed: a.Get("X-Signed") != "",
+				NotRun: header.Get("X-Not-Run") != "", Misdirected: status == http.StatusMisdirectedRequest, Signed: header.Get("X-Signed") != "",
 			}
 		},
 	}
 }
 
-// backend is a backend server whose behaviour a test writes on the raw
-// connection; it counts the requests that reach it.
+// backend is a backend server whose handler writes to the raw connection; it counts the
+// requests that reach it.
 type backend struct {
-	l    net.Listener
-	seen atomic.Int64
-	mu   sync.Mutex
-	last *http.Request
+	l           net.Listener
+	requests    atomic.Int64
+	mu          sync.Mutex
+	lastRequest *http.Request
 }
 
-func newBackend(t *testing.T, behave func(conn net.Conn, q *http.Request)) *backend {
+func newBackend(t *testing.T, handle func(conn net.Conn, request *http.Request)) *backend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -74,16 +74,16 @@
 			}
 			go func() {
 				defer func() { _ = conn.Close() }()
-				q, err := http.ReadRequest(bufio.NewReader(conn))
+				request, err := http.ReadRequest(bufio.NewReader(conn))
 				if err != nil {
 					return
 				}
-				_, _ = io.ReadAll(q.Body)
-				b.seen.Add(1)
+				_, _ = io.ReadAll(request.Body)
+				b.requests.Add(1)
 				b.mu.Lock()
-				b.last = q
+				b.lastRequest = request
 				b.mu.Unlock()
-				behave(conn, q)
+				handle(conn, request)
 			}()
 		}
 	}()
@@ -93,30 +93,30 @@
 func (b *backend) header(name string) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.last.Header.Get(name)
+	return b.lastRequest.Header.Get(name)
 }
 
-func reply(status int, header, body string) func(net.Conn, *http.Request) {
-	return func(conn net.Conn, q *http.Request) {
+func respond(status int, header, body string) func(net.Conn, *http.Request) {
+	return func(conn net.Conn, request *http.Request) {
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 %d x\r\nX-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s",
-			status, q.Header.Get("X-Id"), header, len(body), body)
+			status, request.Header.Get("X-Id"), header, len(body), body)
 	}
 }
 
 const signed = "X-Signed: 1\r\n"
 
 var (
-	answers = reply(http.StatusOK, signed, "done")
-	sheds   = reply(http.StatusServiceUnavailable, "X-Not-Run: 1\r\n", "")
-	breaks  = func(net.Conn, *http.Request) {}
-	errs    = reply(http.StatusInternalServerError, signed, "oops")
+	respondOK       = respond(http.StatusOK, signed, "done")
+	respondNotRun   = respond(http.StatusServiceUnavailable, "X-Not-Run: 1\r\n", "")
+	closeConnection = func(net.Conn, *http.Request) {}
+	respondError    = respond(http.StatusInternalServerError, signed, "oops")
 )
 
-// stream sends events from first to last and then ends it, or breaks it off
+// streamEvents sends the events from first to last and then ends the stream, or interrupts it
 // inside the next event.
-func stream(first, last int, whole bool) func(net.Conn, *http.Request) {
-	return func(conn net.Conn, q *http.Request) {
-		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Id: %s\r\n%sTransfer-Encoding: chunked\r\n\r\n", q.Header.Get("X-Id"), signed)
+func streamEvents(first, last int, whole bool) func(net.Conn, *http.Request) {
+	return func(conn net.Conn, request *http.Request) {
+		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Id: %s\r\n%sTransfer-Encoding: chunked\r\n\r\n", request.Header.Get("X-Id"), signed)
 		chunk := func(s string) { _, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", len(s), s) }
 		for i := first; i <= last; i++ {
 			chunk(fmt.Sprintf("id: %d\ndata: e%d\n\n", i, i))
@@ -129,37 +129,38 @@
 	}
 }
 
-type bed struct {
+type testGateway struct {
 	g   *gateway.Gateway
 	url string
-	// wait is how long callers say that they wait, in milliseconds.
-	wait string
+	// timeoutMs is the timeout that callers declare, in milliseconds.
+	timeoutMs string
 }
 
-// newBed serves one pool of the backends on routes for each kind of request.
-func newBed(t *testing.T, backends ...*backend) *bed {
+// newTestGateway starts a gateway with one pool of the backends and a route for each kind of
+// request.
+func newTestGateway(t *testing.T, backends ...*backend) *testGateway {
 	t.Helper()
-	return newBedWith(t, gateway.RetryBudgetConfig{Ratio: 0.2, Window: 10 * time.Millisecond, Burst: 100}, backends...)
+	return newTestGatewayWithBudget(t, gateway.RetryBudgetConfig{Ratio: 0.2, Window: 10 * time.Millisecond, Burst: 100}, backends...)
 }
 
-func newBedWith(t *testing.T, budget gateway.RetryBudgetConfig, backends ...*backend) *bed {
+func newTestGatewayWithBudget(t *testing.T, budget gateway.RetryBudgetConfig, backends ...*backend) *testGateway {
 	t.Helper()
-	return newBedOf(t, budget, logr.Discard(), backends...)
+	return startTestGateway(t, budget, logr.Discard(), backends...)
 }
 
-// newBedLogging is a bed that logs what it believes.
-func newBedLogging(t *testing.T, log logr.Logger, backends ...*backend) *bed {
+// newTestGatewayWithLog starts a gateway with a logger.
+func newTestGatewayWithLog(t *testing.T, log logr.Logger, backends ...*backend) *testGateway {
 	t.Helper()
-	return newBedOf(t, gateway.RetryBudgetConfig{Ratio: 0.2, Window: 10 * time.Millisecond, Burst: 100}, log, backends...)
+	return startTestGateway(t, gateway.RetryBudgetConfig{Ratio: 0.2, Window: 10 * time.Millisecond, Burst: 100}, log, backends...)
 }
 
-func newBedOf(t *testing.T, budget gateway.RetryBudgetConfig, log logr.Logger, backends ...*backend) *bed {
+func startTestGateway(t *testing.T, budget gateway.RetryBudgetConfig, log logr.Logger, backends ...*backend) *testGateway {
 	t.Helper()
 	dialer := peer.NewDialer(peer.DialerConfig{})
 	g := gateway.New(gateway.Config{
 		Self: &schema.RosterEntry{Host: "e", CallerAddress: "127.0.0.1:1"}, Seeds: func() []string { return nil }, Dialer: dialer,
 		Replica: ledger.NewReplica(), Sender: relay.NewSender(relay.Config{}), Codec: codec(),
-		RetryBudget: budget, Log: log, RequestLog: logr.Discard(), KeyRevocation: revocation,
+		RetryBudget: budget, Log: log, RequestLog: logr.Discard(), KeyRevocation: keyRevocation,
 	})
 	t.Cleanup(func() {
 		g.Close()
@@ -173,12 +174,12 @@
 			Models: []*schema.HeldModel{{Name: "m"}},
 		})
 	}
-	g.Believe(false, views...)
-	// The budget starts empty and fills within its window.
+	g.ApplyServers(false, views...)
+	// The retry budget starts empty and refills within its window.
 	time.Sleep(20 * time.Millisecond)
 	s := httptest.NewServer(g)
 	t.Cleanup(s.Close)
-	return &bed{g, s.URL, "2000"}
+	return &testGateway{g, s.URL, "2000"}
 }
 
 func routes() []*schema.Route {
@@ -208,163 +209,163 @@
 }
 
 type result struct {
-	status int
-	body   string
-	after  string
-	broken bool
+	status      int
+	body        string
+	retryAfter  string
+	interrupted bool
 }
 
-func (b *bed) call(t *testing.T, path, body string, model string) result {
+func (tg *testGateway) call(t *testing.T, path, body string, model string) result {
 	t.Helper()
-	q, err := http.NewRequestWithContext(context.Background(), http.MethodPost, b.url+path, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, tg.url+path, strings.NewReader(body))
 	require.NoError(t, err)
-	q.Host = "h.example"
-	q.Header.Set("X-Id", "42")
-	q.Header.Set("X-Wait", b.wait)
-	q.Header.Set("X-Model", model)
-	r, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(q)
+	request.Host = "h.example"
+	request.Header.Set("X-Id", "42")
+	request.Header.Set("X-Wait", tg.timeoutMs)
+	request.Header.Set("X-Model", model)
+	response, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(request)
 	if err != nil {
-		return result{broken: true}
+		return result{interrupted: true}
 	}
-	defer func() { _ = r.Body.Close() }()
-	data, err := io.ReadAll(r.Body)
-	return result{r.StatusCode, string(data), r.Header.Get("Retry-After"), err != nil}
+	defer func() { _ = response.Body.Close() }()
+	data, err := io.ReadAll(response.Body)
+	return result{response.StatusCode, string(data), response.Header.Get("Retry-After"), err != nil}
 }
 
-// What a caller gets, and how many servers its request reached, by how the first
-// server that is asked behaves and by what may be repeated. A request that must
-// not run twice never reaches a second server once a byte of it was taken, and
-// only a server's own word makes a 503.
-func TestWhatMayBeRepeated(t *testing.T) {
+// TestRetryPolicy checks the response to a caller and the number of servers that its request
+// reaches, by the behaviour of the first server and by what may be retried. A request that must
+// not run twice never reaches a second server once a byte of it was sent, and only a server's
+// own statement leads to a 503.
+func TestRetryPolicy(t *testing.T) {
 	for name, x := range map[string]struct {
-		path   string
-		behave func(net.Conn, *http.Request)
-		want   int
-		reach  int64
+		path    string
+		handle  func(net.Conn, *http.Request)
+		want    int
+		reached int64
 	}{
-		"once, served":           {"/once/x", answers, http.StatusOK, 1},
-		"once, no answer":        {"/once/x", breaks, http.StatusBadGateway, 1},
-		"once, the server fails": {"/once/x", errs, http.StatusInternalServerError, 1},
-		"once, all are full":     {"/once/x", sheds, http.StatusServiceUnavailable, 2},
-		"once, unsigned success": {"/once/x", reply(http.StatusOK, "", "?"), http.StatusBadGateway, 1},
-		"once, another's answer": {"/once/x", func(c net.Conn, _ *http.Request) {
+		"once, served":           {"/once/x", respondOK, http.StatusOK, 1},
+		"once, no response":      {"/once/x", closeConnection, http.StatusBadGateway, 1},
+		"once, server error":     {"/once/x", respondError, http.StatusInternalServerError, 1},
+		"once, all servers full": {"/once/x", respondNotRun, http.StatusServiceUnavailable, 2},
+		"once, unsigned success": {"/once/x", respond(http.StatusOK, "", "?"), http.StatusBadGateway, 1},
+		"once, response to another request": {"/once/x", func(c net.Conn, _ *http.Request) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Id: 7\r\nX-Signed: 1\r\nContent-Length: 0\r\n\r\n")
 		}, http.StatusBadGateway, 1},
-		"once, cut short": {"/once/x", func(c net.Conn, _ *http.Request) {
+		"once, truncated response": {"/once/x", func(c net.Conn, _ *http.Request) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Id: 42\r\nX-Signed: 1\r\nContent-Length: 9\r\n\r\nhal")
 		}, http.StatusBadGateway, 1},
-		"again, no answer":        {"/again/x", breaks, http.StatusBadGateway, 2},
-		"again, the server fails": {"/again/x", errs, http.StatusInternalServerError, 2},
-		"no route":                {"/nowhere/x", answers, http.StatusNotFound, 0},
+		"again, no response":  {"/again/x", closeConnection, http.StatusBadGateway, 2},
+		"again, server error": {"/again/x", respondError, http.StatusInternalServerError, 2},
+		"no route":            {"/nowhere/x", respondOK, http.StatusNotFound, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, b := newBackend(t, x.behave), newBackend(t, x.behave)
-			got := newBed(t, a, b).call(t, x.path, "body", "")
+			a, b := newBackend(t, x.handle), newBackend(t, x.handle)
+			got := newTestGateway(t, a, b).call(t, x.path, "body", "")
 			require.Equal(t, x.want, got.status)
-			require.Equal(t, x.reach, a.seen.Load()+b.seen.Load())
+			require.Equal(t, x.reached, a.requests.Load()+b.requests.Load())
 			if x.want == http.StatusServiceUnavailable {
-				require.NotEmpty(t, got.after)
+				require.NotEmpty(t, got.retryAfter)
 			}
 		})
 	}
 }
 
-// One server refuses as full, or can't be reached at all; the other one serves.
-func TestAnotherServerServes(t *testing.T) {
-	closed := newBackend(t, answers)
+// One server is full or unreachable; the other one serves.
+func TestRetryAtAnotherServer(t *testing.T) {
+	closed := newBackend(t, respondOK)
 	require.NoError(t, closed.l.Close())
-	for name, first := range map[string]*backend{"full": newBackend(t, sheds), "gone": closed} {
+	for name, failing := range map[string]*backend{"full": newBackend(t, respondNotRun), "unreachable": closed} {
 		t.Run(name, func(t *testing.T) {
-			good := newBackend(t, answers)
-			bed := newBed(t, first, good)
+			good := newBackend(t, respondOK)
+			tg := newTestGateway(t, failing, good)
 			for range 6 {
-				got := bed.call(t, "/once/x", "body", "")
+				got := tg.call(t, "/once/x", "body", "")
 				require.Equal(t, http.StatusOK, got.status)
 				require.Equal(t, "done", got.body)
 			}
-			require.Equal(t, int64(6), good.seen.Load())
+			require.Equal(t, int64(6), good.requests.Load())
 		})
 	}
 }
 
-// A server dies inside the third event. A stream that may be resumed goes on at
-// another server after the last event that was complete, and the caller sees one
-// whole answer; any other stream is broken off and must not look complete.
-func TestStreamWhoseServerDies(t *testing.T) {
+// A server fails inside the third event. A resumable stream continues at another server after
+// the last complete event, and the caller receives one whole response. Any other stream is
+// interrupted and must not look complete.
+func TestStreamResumesAfterServerFailure(t *testing.T) {
 	whole := "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\nid: 3\ndata: e3\n\nid: 4\ndata: e4\n\n"
-	behave := func(conn net.Conn, q *http.Request) {
-		if q.Header.Get("X-After") == "2" {
-			stream(3, 4, true)(conn, q)
+	handle := func(conn net.Conn, request *http.Request) {
+		if request.Header.Get("X-After") == "2" {
+			streamEvents(3, 4, true)(conn, request)
 			return
 		}
-		stream(1, 2, false)(conn, q)
+		streamEvents(1, 2, false)(conn, request)
 	}
-	a, b := newBackend(t, behave), newBackend(t, behave)
-	bed := newBed(t, a, b)
-	got := bed.call(t, "/resume/x", "body", "m")
+	a, b := newBackend(t, handle), newBackend(t, handle)
+	tg := newTestGateway(t, a, b)
+	got := tg.call(t, "/resume/x", "body", "m")
 	require.Equal(t, http.StatusOK, got.status)
 	require.Equal(t, whole, got.body)
-	require.False(t, got.broken)
+	require.False(t, got.interrupted)
 
-	got = bed.call(t, "/events/x", "body", "m")
-	require.True(t, got.broken)
+	got = tg.call(t, "/events/x", "body", "m")
+	require.True(t, got.interrupted)
 	require.Equal(t, "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\n", got.body)
 }
 
-// The second server goes on with a gap: the caller gets a broken answer rather
-// than one that lacks an event.
-func TestGapAfterResumeIsNotPassedOn(t *testing.T) {
-	behave := func(conn net.Conn, q *http.Request) {
-		if q.Header.Get("X-After") != "" {
-			stream(4, 5, true)(conn, q)
+// The second server continues with a gap: the caller gets an interrupted response rather than
+// one that misses an event.
+func TestGapAfterResumeInterruptsStream(t *testing.T) {
+	handle := func(conn net.Conn, request *http.Request) {
+		if request.Header.Get("X-After") != "" {
+			streamEvents(4, 5, true)(conn, request)
 			return
 		}
-		stream(1, 2, false)(conn, q)
+		streamEvents(1, 2, false)(conn, request)
 	}
-	got := newBed(t, newBackend(t, behave), newBackend(t, behave)).call(t, "/resume/x", "body", "m")
-	require.True(t, got.broken)
+	got := newTestGateway(t, newBackend(t, handle), newBackend(t, handle)).call(t, "/resume/x", "body", "m")
+	require.True(t, got.interrupted)
 	require.NotContains(t, got.body, "e4")
 }
 
-// No server holds the model and no leader says a word: the request is refused as
-// not run, with a time to come back, and reached nobody.
-func TestModelThatDoesNotCome(t *testing.T) {
-	a := newBackend(t, answers)
-	got := newBed(t, a).call(t, "/once/x", "body", "other")
+// No server has the model and there is no forecast of a leader: the request is rejected as not
+// run, with a Retry-After, and reaches no server.
+func TestUnavailableModelIsRejected(t *testing.T) {
+	a := newBackend(t, respondOK)
+	got := newTestGateway(t, a).call(t, "/once/x", "body", "other")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
-	require.NotEmpty(t, got.after)
-	require.Zero(t, a.seen.Load())
+	require.NotEmpty(t, got.retryAfter)
+	require.Zero(t, a.requests.Load())
 }
 
-// The caller leaves; the server's connection must be closed at once, or it would
-// work on for nobody.
-func TestServerLearnsThatTheCallerLeft(t *testing.T) {
+// The caller disconnects; the server's connection must be closed at once, or the server would
+// continue in vain.
+func TestCallerDisconnectClosesServerConnection(t *testing.T) {
 	closed := make(chan struct{})
 	a := newBackend(t, func(conn net.Conn, _ *http.Request) {
 		_, _ = conn.Read(make([]byte, 1))
 		close(closed)
 	})
-	bed := newBed(t, a)
+	tg := newTestGateway(t, a)
 	ctx, cancel := context.WithCancel(context.Background())
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, bed.url+"/once/x", strings.NewReader("b"))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, tg.url+"/once/x", strings.NewReader("b"))
 	require.NoError(t, err)
-	q.Host = "h.example"
+	request.Host = "h.example"
 	go func() {
-		for a.seen.Load() == 0 {
+		for a.requests.Load() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		cancel()
 	}()
-	_, err = http.DefaultClient.Do(q) //nolint:bodyclose // there is none
+	_, err = http.DefaultClient.Do(request) //nolint:bodyclose // there is none
 	require.Error(t, err)
 	<-closed
 }
 
-// What a server is told of the time left is what the caller has left, and the
-// server is named, so that another one at its address does not run the request.
-func TestDeadlineAndServerArePassedOn(t *testing.T) {
-	a := newBackend(t, answers)
-	require.Equal(t, http.StatusOK, newBed(t, a).call(t, "/once/x", "body", "").status)
+// The forwarded timeout is the time that the caller has left, and the intended server is named,
+// so that another server at its address does not run the request.
+func TestDeadlineAndServerAreForwarded(t *testing.T) {
+	a := newBackend(t, respondOK)
+	require.Equal(t, http.StatusOK, newTestGateway(t, a).call(t, "/once/x", "body", "").status)
 	left, err := strconv.Atoi(a.header("X-Left"))
 	require.NoError(t, err)
 	require.Positive(t, left)
@@ -372,98 +373,97 @@
 	require.Equal(t, "s0", a.header("X-For"))
 }
 
-func TestBodyOverTheLimit(t *testing.T) {
-	a := newBackend(t, answers)
-	got := newBed(t, a).call(t, "/once/x", strings.Repeat("x", 65), "")
+func TestBodyOverLimit(t *testing.T) {
+	a := newBackend(t, respondOK)
+	got := newTestGateway(t, a).call(t, "/once/x", strings.Repeat("x", 65), "")
 	require.Equal(t, http.StatusRequestEntityTooLarge, got.status)
-	require.Zero(t, a.seen.Load())
+	require.Zero(t, a.requests.Load())
 }
 
-// A new leader that is behind must not take an entry's configuration back.
-func TestConfigurationNeverGoesBack(t *testing.T) {
-	bed := newBed(t, newBackend(t, answers))
-	bed.g.Configure(configuration(5, routes()[0]))
-	require.Equal(t, http.StatusNotFound, bed.call(t, "/again/x", "b", "").status)
+// A new leader that is behind must not replace an entry's configuration by an older one.
+func TestOlderConfigurationIsIgnored(t *testing.T) {
+	tg := newTestGateway(t, newBackend(t, respondOK))
+	tg.g.Configure(configuration(5, routes()[0]))
+	require.Equal(t, http.StatusNotFound, tg.call(t, "/again/x", "b", "").status)
 	older := configuration(3, routes()...)
 	older.Revision = 9
-	bed.g.Configure(older)
-	require.Equal(t, http.StatusNotFound, bed.call(t, "/again/x", "b", "").status)
-	require.Equal(t, int64(5), bed.g.State().Version)
+	tg.g.Configure(older)
+	require.Equal(t, http.StatusNotFound, tg.call(t, "/again/x", "b", "").status)
+	require.Equal(t, int64(5), tg.g.State().Version)
 }
 
-// A server that was said to leave stays out although a new leader, which has
-// only heard its older word, names it as ready. One that a settled leader does
-// not know is gone.
-func TestLeavingServerStaysOut(t *testing.T) {
-	a := newBackend(t, answers)
-	bed := newBed(t, a)
+// A leaving server stays excluded although a new leader, which has only received an older
+// report, lists it as ready. A server that a settled leader does not know is removed.
+func TestLeavingServerStaysExcluded(t *testing.T) {
+	a := newBackend(t, respondOK)
+	tg := newTestGateway(t, a)
 	view := func(state schema.RosterState) *schema.RosterServer {
 		return &schema.RosterServer{Id: "s0", Pool: "p", Address: a.l.Addr().String(), Slots: 1, State: state}
 	}
-	bed.g.Believe(false, view(schema.RosterState_ROSTER_STATE_LEAVING))
-	bed.g.Believe(false, view(schema.RosterState_ROSTER_STATE_READY))
-	require.Equal(t, http.StatusServiceUnavailable, bed.call(t, "/once/x", "b", "").status)
-	require.Zero(t, a.seen.Load())
-	bed.g.Believe(true)
-	require.Zero(t, bed.g.Servers())
+	tg.g.ApplyServers(false, view(schema.RosterState_ROSTER_STATE_LEAVING))
+	tg.g.ApplyServers(false, view(schema.RosterState_ROSTER_STATE_READY))
+	require.Equal(t, http.StatusServiceUnavailable, tg.call(t, "/once/x", "b", "").status)
+	require.Zero(t, a.requests.Load())
+	tg.g.ApplyServers(true)
+	require.Zero(t, tg.g.ServerCount())
 }
 
-// Before a configuration is known nothing is said to be missing.
-func TestNoConfigurationIsNoRoute(t *testing.T) {
-	g := attending(t)
+// Before a configuration is known, a missing route must not be reported as not found.
+func TestRequestWithoutConfigurationIsUnavailable(t *testing.T) {
+	g := newSubscribingGateway(t)
 	defer g.Close()
 	require.False(t, g.Ready())
-	// The gateway ends: what waits for the first configuration is answered.
+	// AbortRequests ends the wait for the first configuration.
 	g.AbortRequests()
 	w := httptest.NewRecorder()
 	g.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/once/x", nil))
 	require.Equal(t, http.StatusServiceUnavailable, w.Code)
 }
 
-// All hosts have lost power and come back. Callers find the entry before it has
-// found the leader, and each of them has one more try at most. A request is read
-// and kept until the configuration is there, a moment later, and is then served.
-func TestStartingEntryKeepsCallersForItsConfiguration(t *testing.T) {
+// All hosts have lost power and return. Callers reach the entry before it has found the leader,
+// and each of them retries at most once. A request is read and waits until the configuration
+// arrives, a moment later, and is then served.
+func TestRequestWaitsForFirstConfiguration(t *testing.T) {
 	for name, x := range map[string]struct {
 		body string
 		want int
 	}{
-		"served":                      {"body", http.StatusOK},
-		"too long, as turns out then": {strings.Repeat("x", 65), http.StatusRequestEntityTooLarge},
+		"served":                         {"body", http.StatusOK},
+		"too long for the configuration": {strings.Repeat("x", 65), http.StatusRequestEntityTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBackend(t, answers)
-			g := attending(t)
+			b := newBackend(t, respondOK)
+			g := newSubscribingGateway(t)
 			defer g.Close()
 			got := make(chan int, 1)
-			body := &readOnce{Reader: strings.NewReader(x.body), read: make(chan struct{})}
+			body := &readNotifier{Reader: strings.NewReader(x.body), done: make(chan struct{})}
 			go func() {
 				w := httptest.NewRecorder()
-				q := httptest.NewRequest(http.MethodPost, "/once/x", body)
-				q.Host = "h.example"
-				q.Header.Set("X-Id", "42")
-				g.ServeHTTP(w, q)
+				request := httptest.NewRequest(http.MethodPost, "/once/x", body)
+				request.Host = "h.example"
+				request.Header.Set("X-Id", "42")
+				g.ServeHTTP(w, request)
 				got <- w.Code
 			}()
-			<-body.read
-			g.Believe(false, &schema.RosterServer{Id: "s0", Pool: "p", Address: b.l.Addr().String(), Slots: 1})
+			<-body.done
+			g.ApplyServers(false, &schema.RosterServer{Id: "s0", Pool: "p", Address: b.l.Addr().String(), Slots: 1})
 			g.Configure(configuration(1, routes()...))
 			require.Equal(t, x.want, <-got)
 		})
 	}
 }
 
-// readOnce tells when it was read to its end.
-type readOnce struct {
+// readNotifier closes done once it is read to its end.
+type readNotifier struct {
 	io.Reader
-	read chan struct{}
+	done chan struct{}
 	once sync.Once
 }
 
-func (r *readOnce) Read(p []byte) (int, error) {
+func (r *readNotifier) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if err != nil {
-		r.once.Do(func() { close(r.read) })
+		r.once.Do(func() { close(r.done) })
 	}
 	return n, err
 }
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -9,36 +9,36 @@
 	"fennelyard/internal/schema"
 )
 
-// avoidFor is for how long a control host that was silent or refused is asked only after
-// all others. A host that restarts is back within a second or two.
-const avoidFor = 2 * time.Second
+// avoidDuration is how long a control host that was silent or rejected this entry is tried only
+// after all others. A host that restarts is back within a second or two.
+const avoidDuration = 2 * time.Second
 
-// controlHosts are the control hosts that this entry can attend. Entries spread over them
-// by themselves: each has an order of its own, and a host that comes or goes moves only the
-// entries that prefer it. It belongs to one goroutine.
+// controlHosts is the set of control hosts that this entry can subscribe to. Entries spread
+// over them without coordination: each has an order of its own, and a host that joins or leaves
+// moves only the entries that prefer it. It is used by one goroutine.
 type controlHosts struct {
 	self *schema.RosterEntry
-	// seeds returns a few hosts; members are those that were met, and named those that
-	// follow the leader, by its last word.
-	seeds   func() []string
-	members []string
-	named   []*schema.ControlHost
-	// hint is a host that another one named as it refused, "": none.
+	// seeds returns some hosts, members are the hosts learned from other hosts, and followers
+	// those that follow the leader by its last update.
+	seeds     func() []string
+	members   []string
+	followers []*schema.ControlHost
+	// hint is a host that another host named in its rejection, empty for none.
 	hint string
-	// avoided is until when hosts are avoided, by address.
+	// avoided holds by address until when a host is avoided.
 	avoided map[string]time.Time
-	// failed counts the hosts that were asked in vain in a row.
-	failed int
+	// failures counts consecutive failed attempts over all hosts.
+	failures int
 }
 
 func newControlHosts(self *schema.RosterEntry, seeds func() []string) *controlHosts {
 	return &controlHosts{self: self, seeds: seeds, avoided: map[string]time.Time{}}
 }
 
-// preference is the place of a host in an entry's order; the least comes first.
+// preference is the position of a host in an entry's order; the lowest comes first.
 type preference struct {
-	// class is 0 for a host of the entry's data centre that follows the leader, 1 for
-	// another one that does, 2 for those of which nothing is known.
+	// class is 0 for a host of the entry's data centre that follows the leader, 1 for one of
+	// another data centre, 2 for hosts of unknown state.
 	class int
 	// hash spreads the entries over the hosts of a class.
 	hash uint64
@@ -48,9 +48,9 @@
 	return cmp.Or(cmp.Compare(p.class, q.class), cmp.Compare(p.hash, q.hash))
 }
 
-func (h *controlHosts) prefers(address string) preference {
-	p := preference{class: 2, hash: rendezvous(h.self.GetHost(), address)}
-	for _, x := range h.named {
+func (h *controlHosts) preferenceOf(address string) preference {
+	p := preference{class: 2, hash: rendezvousHash(h.self.GetHost(), address)}
+	for _, x := range h.followers {
 		if x.GetAddress() != address {
 			continue
 		}
@@ -62,36 +62,37 @@
 	return p
 }
 
-// rendezvous is a number that is even over all pairs.
-func rendezvous(entry, address string) uint64 {
+// rendezvousHash returns an evenly distributed hash of an entry and a host.
+func rendezvousHash(entry, address string) uint64 {
 	sum := fnv.New64a()
-	// A hash takes every byte.
+	// Writing to a hash does not fail.
 	_, _ = sum.Write([]byte(entry + " " + address))
-	// The last bytes of the input change the high bits of such a sum little.
+	// FNV mixes the last bytes of its input poorly into the high bits of the sum; this finalizer
+	// does.
 	x := sum.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	return x ^ x>>33
 }
 
-// ranked returns all hosts that are known, the best first.
+// ranked returns all known hosts, the most preferred one first.
 func (h *controlHosts) ranked() []string {
 	all := slices.Concat(h.members, h.seeds())
-	for _, x := range h.named {
+	for _, x := range h.followers {
 		all = append(all, x.GetAddress())
 	}
 	slices.Sort(all)
 	all = slices.Compact(all)
-	places := make(map[string]preference, len(all))
+	preferences := make(map[string]preference, len(all))
 	for _, address := range all {
-		places[address] = h.prefers(address)
+		preferences[address] = h.preferenceOf(address)
 	}
-	slices.SortFunc(all, func(a, b string) int { return places[a].compare(places[b]) })
+	slices.SortFunc(all, func(a, b string) int { return preferences[a].compare(preferences[b]) })
 	return all
 }
 
-// next returns the host to ask next, "" where none is known: the best that is not avoided,
-// else the one that was asked in vain the longest ago.
+// next returns the host to try next, empty if none is known: the hint if there is one, the most
+// preferred host that is not avoided, or else the one whose failure is the longest ago.
 func (h *controlHosts) next(now time.Time) string {
 	if hint := h.hint; hint != "" {
 		h.hint = ""
@@ -109,41 +110,41 @@
 	return slices.MinFunc(all, func(a, b string) int { return h.avoided[a].Compare(h.avoided[b]) })
 }
 
-// better returns a host that follows the leader and that this entry prefers to another,
-// "" where there is none.
-func (h *controlHosts) better(than string, now time.Time) string {
-	place := h.prefers(than)
+// preferredTo returns a host that follows the leader and that this entry prefers to the current
+// one, empty for none.
+func (h *controlHosts) preferredTo(current string, now time.Time) string {
+	bestPreference := h.preferenceOf(current)
 	best := ""
-	for _, x := range h.named {
+	for _, x := range h.followers {
 		address := x.GetAddress()
-		if p := h.prefers(address); address != than && !now.Before(h.avoided[address]) && p.compare(place) < 0 {
-			best, place = address, p
+		if p := h.preferenceOf(address); address != current && !now.Before(h.avoided[address]) && p.compare(bestPreference) < 0 {
+			best, bestPreference = address, p
 		}
 	}
 	return best
 }
 
-// fail notes that a host was asked in vain.
-func (h *controlHosts) fail(address string, now time.Time) {
-	h.failed++
-	h.avoided[address] = now.Add(avoidFor)
+// recordFailure records a failed attempt at a host.
+func (h *controlHosts) recordFailure(address string, now time.Time) {
+	h.failures++
+	h.avoided[address] = now.Add(avoidDuration)
 	for other, until := range h.avoided {
-		if now.Sub(until) > avoidFor {
+		if now.Sub(until) > avoidDuration {
 			delete(h.avoided, other)
 		}
 	}
 }
 
-// found notes that a host tells what the leader says.
-func (h *controlHosts) found(address string) {
-	h.failed = 0
+// recordSuccess records that a host sends the leader's updates.
+func (h *controlHosts) recordSuccess(address string) {
+	h.failures = 0
 	delete(h.avoided, address)
 }
 
-// around counts the times that all hosts were asked in vain.
-func (h *controlHosts) around() int { return h.failed / max(len(h.ranked()), 1) }
+// failedRounds returns the number of failed rounds over all hosts.
+func (h *controlHosts) failedRounds() int { return h.failures / max(len(h.ranked()), 1) }
 
-// pause is how long to wait before the next host is asked.
-func (h *controlHosts) pause() time.Duration {
-	return min(nextPause<<min(h.around(), pauseDoublings), pauseMost)
+// retryInterval returns the time to wait before the next host is tried.
+func (h *controlHosts) retryInterval() time.Duration {
+	return min(minHostRetryInterval<<min(h.failedRounds(), maxRetryDoublings), maxHostRetryInterval)
 }
--- a/internal/gateway/hosts_test.go
+++ b/internal/gateway/hosts_test.go
@@ -11,10 +11,10 @@
 	"fennelyard/internal/schema"
 )
 
-var someTime = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+var testTime = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// following returns control hosts, two in each of four data centres and one in a fifth.
-func following() []*schema.ControlHost {
+// testControlHosts returns control hosts, two in each of four data centres and one in a fifth.
+func testControlHosts() []*schema.ControlHost {
 	var out []*schema.ControlHost
 	for i := range 9 {
 		out = append(out, &schema.ControlHost{Address: fmt.Sprintf("10.0.0.%d:7000", i+1), DataCentre: fmt.Sprint("dc-", i/2)})
@@ -22,88 +22,88 @@
 	return out
 }
 
-func entryIn(i int) *schema.RosterEntry {
+func testEntry(i int) *schema.RosterEntry {
 	return &schema.RosterEntry{Host: fmt.Sprint("front-", i), DataCentre: fmt.Sprint("dc-", i%5)}
 }
 
-// 291 entries choose their control hosts without a word to each other. Each takes one of
-// its own data centre, and the two of a data centre have about as many each.
-func TestEntriesSpreadOverNearHosts(t *testing.T) {
-	attended := map[string]int{}
+// 291 entries choose their control hosts without coordination. Each takes one of its own data
+// centre, and the two hosts of a data centre have about the same number of subscribers.
+func TestEntriesSpreadOverLocalControlHosts(t *testing.T) {
+	subscribed := map[string]int{}
 	for i := range 291 {
-		h := gateway.NewControlHosts(entryIn(i), nil)
-		h.Name(following()...)
-		at := h.Next(someTime)
-		attended[at]++
-		for _, x := range following() {
-			require.Equal(t, x.GetAddress() == at && x.GetDataCentre() != entryIn(i).GetDataCentre(), false)
+		h := gateway.NewControlHosts(testEntry(i), nil)
+		h.SetFollowers(testControlHosts()...)
+		address := h.Next(testTime)
+		subscribed[address]++
+		for _, x := range testControlHosts() {
+			require.Equal(t, x.GetAddress() == address && x.GetDataCentre() != testEntry(i).GetDataCentre(), false)
 		}
 	}
-	require.Len(t, attended, 9)
-	for at, n := range attended {
-		if at != "10.0.0.9:7000" {
-			// A fifth of the entries, over two hosts, and three standard deviations.
-			require.InDelta(t, 29, n, 12, at)
+	require.Len(t, subscribed, 9)
+	for address, n := range subscribed {
+		if address != "10.0.0.9:7000" {
+			// The mean is a fifth of the entries over two hosts; 12 is three standard deviations.
+			require.InDelta(t, 29, n, 12, address)
 		}
 	}
 }
 
-// All entries start at once and know the three seeds alone: each asks a seed of its own
-// order, so that none of them is asked by all.
+// All entries start at once and know only the three seeds: each starts with a seed of its own
+// order, so that no seed is queried by all of them.
 func TestEntriesSpreadOverSeeds(t *testing.T) {
 	seeds := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
-	attended := map[string]int{}
+	subscribed := map[string]int{}
 	for i := range 300 {
-		attended[gateway.NewControlHosts(entryIn(i), seeds).Next(someTime)]++
+		subscribed[gateway.NewControlHosts(testEntry(i), seeds).Next(testTime)]++
 	}
 	for _, s := range seeds {
-		require.InDelta(t, 100, attended[s], 30, s)
+		require.InDelta(t, 100, subscribed[s], 30, s)
 	}
 }
 
-// A control host restarts. Only its own entries move, over more than one of the others,
-// and back to it once it is there again.
-func TestOnlyTheEntriesOfALostHostMove(t *testing.T) {
-	all := following()
+// A control host restarts. Only its own subscribers move, to more than one of the other hosts,
+// and return to it once it is back.
+func TestOnlySubscribersOfLostHostMove(t *testing.T) {
+	all := testControlHosts()
 	lost, rest := all[8], all[:8]
-	taken := map[string]int{}
+	movedTo := map[string]int{}
 	for i := range 291 {
-		h := gateway.NewControlHosts(entryIn(i), nil)
-		h.Name(all...)
-		before := h.Next(someTime)
-		h.Name(rest...)
+		h := gateway.NewControlHosts(testEntry(i), nil)
+		h.SetFollowers(all...)
+		before := h.Next(testTime)
+		h.SetFollowers(rest...)
 		if before != lost.GetAddress() {
-			require.Empty(t, h.Better(before, someTime))
+			require.Empty(t, h.PreferredTo(before, testTime))
 			continue
 		}
-		h.Fail(before, someTime)
-		next := h.Next(someTime)
+		h.RecordFailure(before, testTime)
+		next := h.Next(testTime)
 		require.NotEqual(t, before, next)
-		taken[next]++
-		h.Name(all...)
-		require.Empty(t, h.Better(next, someTime))
-		require.Equal(t, before, h.Better(next, someTime.Add(3*time.Second)))
+		movedTo[next]++
+		h.SetFollowers(all...)
+		require.Empty(t, h.PreferredTo(next, testTime))
+		require.Equal(t, before, h.PreferredTo(next, testTime.Add(3*time.Second)))
 	}
-	require.Len(t, taken, 8)
+	require.Len(t, movedTo, 8)
 }
 
-// No host tells what the leader says, as while all of them restart. Each is asked in
-// turn, and ever more seldom: asked twenty times a second by 300 entries, the hosts would
-// have no time left to elect a leader.
-func TestHostsAreAskedMoreSeldomWhileNoneLeads(t *testing.T) {
+// No host has leader updates, as while all of them restart. The hosts are tried in turn, at
+// increasing intervals: queried twenty times a second by 300 entries, they would have no time
+// left to elect a leader.
+func TestControlHostRetryBackoff(t *testing.T) {
 	seeds := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
-	h := gateway.NewControlHosts(entryIn(1), seeds)
-	now, asked := someTime, map[string]int{}
+	h := gateway.NewControlHosts(testEntry(1), seeds)
+	now, queried := testTime, map[string]int{}
 	for range 12 {
-		at := h.Next(now)
-		asked[at]++
-		h.Fail(at, now)
-		now = now.Add(h.Pause())
+		address := h.Next(now)
+		queried[address]++
+		h.RecordFailure(address, now)
+		now = now.Add(h.RetryInterval())
 	}
 	for _, s := range seeds {
-		require.Equal(t, 4, asked[s])
+		require.Equal(t, 4, queried[s])
 	}
-	require.Equal(t, 400*time.Millisecond, h.Pause())
-	h.Found(seeds[0])
-	require.Equal(t, 50*time.Millisecond, h.Pause())
+	require.Equal(t, 400*time.Millisecond, h.RetryInterval())
+	h.RecordSuccess(seeds[0])
+	require.Equal(t, 50*time.Millisecond, h.RetryInterval())
 }
--- a/internal/gateway/leader_update_test.go
+++ b/internal/gateway/leader_update_test.go
@@ -9,28 +9,28 @@
 	"fennelyard/internal/schema"
 )
 
-// FuzzLeaderNews takes a leader's words in as they may come from another version of the
-// program, or broken: none ends the entry.
+// FuzzLeaderNews applies updates of the leader as another version of the program may send them,
+// or corrupt ones: none may crash the entry.
 func FuzzLeaderNews(f *testing.F) {
 	add := func(n *schema.LeaderNews) {
 		data, err := proto.Marshal(n)
 		require.NoError(f, err)
 		f.Add(data)
 	}
-	add(&schema.LeaderNews{Sequence: 1, Confirm: true, Changes: encoded(configuration(3, routes()...))})
+	add(&schema.LeaderNews{Sequence: 1, Confirm: true, Changes: encodeChanges(configuration(3, routes()...))})
 	add(&schema.LeaderNews{
 		Servers: []*schema.RosterServer{{Id: "i@1", Pool: "p", Address: "a:1", Models: []*schema.HeldModel{{Name: "m"}}}, {Id: "i"}},
 		Loads:   &schema.EngineLoads{Loads: []*schema.EngineLoad{{Server: "i@1", Running: 3}}}, Settled: true,
 	})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		news := &schema.LeaderNews{}
-		if proto.Unmarshal(in, news) != nil {
+		update := &schema.LeaderNews{}
+		if proto.Unmarshal(in, update) != nil {
 			return
 		}
-		g := attending(t)
+		g := newSubscribingGateway(t)
 		defer g.Close()
-		// A word that can't be read ends the stream, and a new one begins.
-		_ = g.Take(news)
+		// An update that cannot be decoded ends the stream, and a new one starts.
+		_ = g.ApplyUpdate(update)
 		g.State()
 	})
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -7,33 +7,33 @@
 	"fennelyard/internal/relay"
 )
 
-// subject is the request as the guard knows it.
-func (x *exchange) subject() *quarantine.KeyedRequest {
-	if x.guarded == nil {
-		x.guarded = quarantine.NewKeyedRequest(quarantine.Request{
-			Method: x.r.Method, Host: x.r.Host, Target: x.r.RequestURI, Caller: x.call.APIKey, Body: x.body,
+// keyedRequest returns the request with its key, for the guard.
+func (x *exchange) keyedRequest() *quarantine.KeyedRequest {
+	if x.keyed == nil {
+		x.keyed = quarantine.NewKeyedRequest(quarantine.Request{
+			Method: x.r.Method, Host: x.r.Host, Target: x.r.RequestURI, Caller: x.info.APIKey, Body: x.body,
 		})
 	}
-	return x.guarded
+	return x.keyed
 }
 
-// brokeOff tells the guard where an attempt broke off. What the caller's leaving, the time's
-// end or this entry broke off says nothing about the server, and one that leaves ends anyhow,
-// whatever it runs.
-func (x *exchange) brokeOff(s *server, err error) {
-	if !errors.Is(err, relay.ErrInterrupted) || x.paid || x.ctx.Err() != nil || !x.g.fleet.takesWork(s) {
+// reportInterruption reports an interrupted attempt to the guard. An interruption by the
+// caller, by the deadline or by this entry proves nothing about the server, and neither does
+// one of a server that is leaving, which ends whatever it runs.
+func (x *exchange) reportInterruption(s *server, err error) {
+	if !errors.Is(err, relay.ErrInterrupted) || x.retryReserved || x.ctx.Err() != nil || !x.g.fleet.isReady(s) {
 		return
 	}
-	x.g.guard.AttemptFailed(x.subject(), s.id, s.address)
+	x.g.guard.AttemptFailed(x.keyedRequest(), s.id, s.address)
 }
 
-// heldBack refuses a request at once that is known to end the servers that run it. Its
-// caller would have the answer that it had before, or none, and whatever ran beside it
-// would break off.
-func (x *exchange) heldBack() bool {
-	left, held := x.g.guard.HeldBack(x.subject())
-	if held {
-		x.giveUp(OutcomeHeldBack, left)
+// rejectedByQuarantine rejects a request at once that is known to end the servers that run it.
+// Another attempt would fail in the same way and would interrupt all requests that run beside
+// it.
+func (x *exchange) rejectedByQuarantine() bool {
+	retryAfter, quarantined := x.g.guard.HeldBack(x.keyedRequest())
+	if quarantined {
+		x.fail(OutcomeHeldBack, retryAfter)
 	}
-	return held
+	return quarantined
 }
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -13,14 +13,15 @@
 	"fennelyard/internal/schema"
 )
 
-// A server dies in the middle of an answer: the log names it, says that it has ended, and
-// gives the request's key, so that a request that is repeated can be followed over entries.
-func TestLogTellsOfAServerThatEnded(t *testing.T) {
+// A server process ends in the middle of a response. The log names the server, states that it
+// has ended and contains the request's key, so that retries of a request can be followed across
+// entries.
+func TestServerEndIsLogged(t *testing.T) {
 	lines := make(chan string, 16)
-	var dies *backend
-	dies = newBackend(t, func(net.Conn, *http.Request) { _ = dies.l.Close() })
-	bed := newBedLogging(t, funcr.New(func(prefix, args string) { lines <- prefix + " " + args }, funcr.Options{}), dies)
-	require.Equal(t, 502, bed.call(t, "/once/x", "body", "").status)
+	var server *backend
+	server = newBackend(t, func(net.Conn, *http.Request) { _ = server.l.Close() })
+	tg := newTestGatewayWithLog(t, funcr.New(func(prefix, args string) { lines <- prefix + " " + args }, funcr.Options{}), server)
+	require.Equal(t, 502, tg.call(t, "/once/x", "body", "").status)
 	for {
 		select {
 		case line := <-lines:
@@ -30,69 +31,69 @@
 				return
 			}
 		case <-time.After(20 * time.Second):
-			require.FailNow(t, "nothing is said of the server")
+			require.FailNow(t, "the end of the server is not logged")
 		}
 	}
 }
 
-// A server that leaves ends while it still has a request. Its end says nothing about what
-// it ran: nobody asks after it, and the request is not under suspicion.
-func TestServerThatLeavesIsNotAskedAfter(t *testing.T) {
+// A leaving server ends while it still has a request. Its end proves nothing about the request:
+// it is not investigated, and the request does not become suspect.
+func TestLeavingServerIsNotInvestigated(t *testing.T) {
 	lines := make(chan string, 64)
-	taken, leave := make(chan struct{}), make(chan struct{})
-	var leaves *backend
-	leaves = newBackend(t, func(net.Conn, *http.Request) {
-		close(taken)
+	received, leave := make(chan struct{}), make(chan struct{})
+	var server *backend
+	server = newBackend(t, func(net.Conn, *http.Request) {
+		close(received)
 		<-leave
-		_ = leaves.l.Close()
+		_ = server.l.Close()
 	})
-	bed := newBedLogging(t, funcr.New(func(prefix, args string) { lines <- prefix + " " + args }, funcr.Options{}), leaves)
+	tg := newTestGatewayWithLog(t, funcr.New(func(prefix, args string) { lines <- prefix + " " + args }, funcr.Options{}), server)
 	go func() {
-		<-taken
-		bed.g.Believe(false, &schema.RosterServer{
-			Id: "s0", Pool: "p", Address: leaves.l.Addr().String(), State: schema.RosterState_ROSTER_STATE_LEAVING,
+		<-received
+		tg.g.ApplyServers(false, &schema.RosterServer{
+			Id: "s0", Pool: "p", Address: server.l.Addr().String(), State: schema.RosterState_ROSTER_STATE_LEAVING,
 		})
 		close(leave)
 	}()
-	require.Equal(t, 502, bed.call(t, "/once/x", "body", "").status)
-	bed.g.Close()
+	require.Equal(t, 502, tg.call(t, "/once/x", "body", "").status)
+	tg.g.Close()
 	close(lines)
 	for line := range lines {
 		require.NotContains(t, line, "attempts broke off")
 	}
 }
 
-// Three servers end under a request at one entry; its fourth repeat is refused at once as
-// not run, with a time to return, and reaches no server. A request with another body is
-// served.
-func TestFourthRepeatIsRefused(t *testing.T) {
-	var all []*backend
+// Three servers end while they run the same request at one entry. Its fourth attempt is
+// rejected at once as not run, with a Retry-After, and reaches no server. A request with
+// another body is served.
+func TestHarmfulRequestIsQuarantined(t *testing.T) {
+	var servers []*backend
 	for range 5 {
-		var b *backend
-		b = newBackend(t, func(conn net.Conn, q *http.Request) {
-			if q.ContentLength == 7 {
-				_ = b.l.Close()
+		var server *backend
+		server = newBackend(t, func(conn net.Conn, request *http.Request) {
+			if request.ContentLength == 7 {
+				_ = server.l.Close()
 				return
 			}
-			answers(conn, q)
+			respondOK(conn, request)
 		})
-		all = append(all, b)
+		servers = append(servers, server)
 	}
-	bed := newBed(t, all...)
+	tg := newTestGateway(t, servers...)
 	reached := func() (n int64) {
-		for _, b := range all {
-			n += b.seen.Load()
+		for _, server := range servers {
+			n += server.requests.Load()
 		}
 		return n
 	}
 	for want := 1; want <= 3; want++ {
-		require.Equal(t, 502, bed.call(t, "/once/x", "harmful", "").status)
-		require.Eventually(t, func() bool { return bed.g.Suspected() == want }, 20*time.Second, time.Millisecond)
+		require.Equal(t, 502, tg.call(t, "/once/x", "harmful", "").status)
+		require.Eventually(t, func() bool { return tg.g.MaxEndedServers() == want }, 20*time.Second, time.Millisecond)
 	}
 	before := reached()
-	got := bed.call(t, "/once/x", "harmful", "")
+	got := tg.call(t, "/once/x", "harmful", "")
 	require.Equal(t, 503, got.status)
-	require.NotEmpty(t, got.after)
+	require.NotEmpty(t, got.retryAfter)
 	require.Equal(t, before, reached())
-	require.Equal(t, 200, bed.call(t, "/once/x", "other", "").status)
+	require.Equal(t, 200, tg.call(t, "/once/x", "other", "").status)
 }
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -7,38 +7,38 @@
 	"fennelyard/internal/schema"
 )
 
-// report logs a finished request with what decided it, and counts it.
-func (g *Gateway) report(x *exchange) {
-	took := time.Since(x.began)
+// logRequest logs a finished request with the data behind its decisions, and counts it.
+func (g *Gateway) logRequest(x *exchange) {
+	duration := time.Since(x.startTime)
 	kind, route, version := "none", "", uint64(0)
 	if x.table != nil {
 		version = x.table.version
 	}
 	if x.route != nil {
-		kind, route = kindOf(x.route), x.route.GetName()
+		kind, route = routeKind(x.route), x.route.GetName()
 	}
-	rate, apart := 0, false
-	if x.call.Model != "" {
-		rate, apart = g.fleet.reading(x.pool)
+	rate, separated := 0, false
+	if x.info.Model != "" {
+		rate, separated = g.fleet.prefillRate(x.pool)
 	}
 	server := ""
 	if x.server != nil {
 		server = x.server.id
 	}
-	g.cfg.RequestLog.Info("request", "id", x.call.ID, "key", x.guarded.ComputedKey(), "outcome", x.outcome.String(), "team", x.teamName(), "quota-cost", x.access.cost, "confirmed-age-ms", time.Since(g.attend.confirmedAt()).Milliseconds(), "status", x.status, "route", route,
-		"version", version, "pool", x.pool, "model", x.call.Model, "adapter", x.call.Adapter, "server", server,
-		"attempts", x.attempts, "runs", x.runs, "tried", x.tried, "waited-ms", x.waited.Milliseconds(),
-		"first-ms", x.first.Milliseconds(), "pause-ms", x.pause.Milliseconds(), "took-ms", took.Milliseconds(), "wait-ms", x.call.Timeout.Milliseconds(), "prompt", x.call.PromptTokens,
-		"at-once", x.atOnce, "unread", x.unread, "read-rate", rate, "apart", apart,
-		"leader-age-ms", g.attend.age().Milliseconds(), "cause", asynclog.ErrorText(x.cause))
+	g.cfg.RequestLog.Info("request", "id", x.info.ID, "key", x.keyed.ComputedKey(), "outcome", x.outcome.String(), "team", x.teamName(), "quota-cost", x.access.cost, "confirmed-age-ms", time.Since(g.subscriber.confirmedAt()).Milliseconds(), "status", x.status, "route", route,
+		"version", version, "pool", x.pool, "model", x.info.Model, "adapter", x.info.Adapter, "server", server,
+		"attempts", x.attempts, "runs", x.runs, "tried", x.excluded, "waited-ms", x.waited.Milliseconds(),
+		"first-ms", x.timeToFirstByte.Milliseconds(), "pause-ms", x.maxPause.Milliseconds(), "took-ms", duration.Milliseconds(), "wait-ms", x.info.Timeout.Milliseconds(), "prompt", x.info.PromptTokens,
+		"at-once", x.inFlightBefore, "unread", x.pendingPrefillBefore, "read-rate", rate, "apart", separated,
+		"leader-age-ms", g.subscriber.leaderAge().Milliseconds(), "cause", asynclog.ErrorText(x.cause))
 	if g.cfg.OnRequestDone != nil {
 		g.cfg.OnRequestDone(RequestStats{
-			RouteKind: kind, Team: x.teamName(), Outcome: x.outcome, Status: x.status, Duration: took, TimeToFirstByte: x.first, Attempts: x.attempts,
+			RouteKind: kind, Team: x.teamName(), Outcome: x.outcome, Status: x.status, Duration: duration, TimeToFirstByte: x.timeToFirstByte, Attempts: x.attempts,
 		})
 	}
 }
 
-func kindOf(r *schema.Route) string {
+func routeKind(r *schema.Route) string {
 	switch {
 	case r.GetStream() && r.GetRepeat() == schema.Repeat_REPEAT_RESUME:
 		return "stream-resumable"
