--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -8,55 +8,56 @@
 )
 
 const (
-	// ejectFirst and ejectMost bound how long a server that does not answer is
-	// left out: long enough for a few others to be tried first, and short against
-	// the seconds in which a server comes back.
-	ejectFirst = 500 * time.Millisecond
-	ejectMost  = 4 * time.Second
-	// absentFor is how long a server that said that it lacks a model is not asked
-	// for it again; the leader's word takes a few milliseconds.
-	absentFor = 60 * time.Millisecond
-	// partsKept is how many prompt parts are remembered per server: what an
-	// engine's cache of some 200,000 tokens holds of parts of 1,000 and more.
-	partsKept = 200
+	// minEjection and maxEjection bound how long a server that does not respond is ejected: long
+	// enough to try a few others first, and short compared with the seconds that a server needs to
+	// return.
+	minEjection = 500 * time.Millisecond
+	maxEjection = 4 * time.Second
+	// absentDuration is how long a server that reported a missing model is not chosen for it; the
+	// leader's update arrives within milliseconds.
+	absentDuration = 60 * time.Millisecond
+	// maxPromptParts is the number of prompt parts remembered per server: an engine's cache of
+	// some 200,000 tokens holds that many parts of 1,000 tokens and more.
+	maxPromptParts = 200
 )
 
-// server is a backend server's incarnation as this entry sees it.
+// server is an incarnation of a backend server as known to this entry.
 type server struct {
-	// id is the incarnation's key and server the server's id. Both and address never
-	// change; all else is guarded by the fleet's mutex.
+	// id is the key of the incarnation and server the id of the server. These and address never
+	// change; all other fields are guarded by the fleet's mutex.
 	id, server, address string
 	view                *schema.RosterServer
-	// models holds the adapters of each model that the server holds.
+	// models holds the loaded adapters by loaded model.
 	models map[string]map[string]bool
-	// running is the number of this entry's requests there, and runs the same by
-	// model, and by model/adapter; those without any are left out.
+	// running is the number of this entry's requests at the server; runs holds the same by model
+	// and by model/adapter, without zero entries.
 	running int
 	runs    map[string]int
-	// unread is the number of prompt tokens that this entry sent there and that
-	// are not known to be read.
-	unread int
-	// told is what this entry last told the leader of the two above, and others
-	// what the other entries have there by the leader's last word.
-	told, others load
-	// reading is an average of the prompt tokens that are there and not read.
-	reading float64
-	// parts holds the prompt parts that this entry sent there, by model and id,
-	// with the number of the request that last did.
-	parts    map[string]uint64
-	requests uint64
-	// strikes counts failures in a row.
-	strikes int
-	out     time.Time
-	// absent holds until when a model or adapter counts as not there.
-	absent map[string]time.Time
+	// pendingPrefill is the number of prompt tokens that this entry sent and whose prefill is not
+	// known to be done.
+	pendingPrefill int
+	// reported is the load that this entry last reported to the leader, others the load of the
+	// other entries by the leader's last update.
+	reported, others load
+	// meanPendingPrefill is a moving average of the pending prefill of all entries, in tokens.
+	meanPendingPrefill float64
+	// promptParts holds the prompt parts that this entry sent, keyed by model, adapter and part
+	// id, with the number of the last request that contained each.
+	promptParts map[string]uint64
+	requests    uint64
+	// consecutiveFailures counts failures in a row.
+	consecutiveFailures int
+	ejectedUntil        time.Time
+	// absentUntil holds until when a model or adapter counts as missing.
+	absentUntil map[string]time.Time
 }
 
-// count adds a request to the runs of its model and adapter, or takes it off.
-func (s *server) count(c *RequestInfo, by int) {
-	names := []string{c.Model}
-	if c.Adapter != "" {
-		names = append(names, c.Model+"/"+c.Adapter)
+// addRuns adds a request to the runs of its model and adapter, or removes one if by is
+// negative.
+func (s *server) addRuns(info *RequestInfo, by int) {
+	names := []string{info.Model}
+	if info.Adapter != "" {
+		names = append(names, info.Model+"/"+info.Adapter)
 	}
 	for _, name := range names {
 		if s.runs[name] += by; s.runs[name] <= 0 {
@@ -65,14 +66,14 @@
 	}
 }
 
-// load is what is at an engine.
+// load is the load of an engine: requests, and prompt tokens with pending prefill.
 type load struct {
-	running, unread int
+	running, pendingPrefill int
 }
 
 func newServer(v *schema.RosterServer) *server {
 	s := &server{
-		id: v.GetId(), server: incarnation.ServerOf(v.GetId()), address: v.GetAddress(), parts: map[string]uint64{}, absent: map[string]time.Time{},
+		id: v.GetId(), server: incarnation.ServerOf(v.GetId()), address: v.GetAddress(), promptParts: map[string]uint64{}, absentUntil: map[string]time.Time{},
 		runs: map[string]int{},
 	}
 	s.update(v)
@@ -91,22 +92,22 @@
 	}
 }
 
-// holds reports whether the server can serve a model, and an adapter of it.
-func (s *server) holds(model, adapter string, now time.Time) bool {
+// hasModel reports whether the server can serve a model, and an adapter of it unless empty.
+func (s *server) hasModel(model, adapter string, now time.Time) bool {
 	adapters, ok := s.models[model]
 	if !ok || adapter != "" && !adapters[adapter] {
 		return false
 	}
-	return !now.Before(s.absent[model+"/"+adapter])
+	return !now.Before(s.absentUntil[model+"/"+adapter])
 }
 
 func (s *server) ready() bool { return s.view.GetState() == schema.RosterState_ROSTER_STATE_READY }
 
-// uncached returns how many tokens of a call's prompt the server has to read.
-func (s *server) uncached(c *RequestInfo) int {
-	tokens := c.PromptTokens
-	for _, p := range c.PromptParts {
-		if s.parts[c.Model+"/"+c.Adapter+"/"+p.ID] == 0 {
+// uncached returns the number of tokens of a request's prompt that the server has to prefill.
+func (s *server) uncached(info *RequestInfo) int {
+	tokens := info.PromptTokens
+	for _, p := range info.PromptParts {
+		if s.promptParts[info.Model+"/"+info.Adapter+"/"+p.ID] == 0 {
 			break
 		}
 		tokens -= p.Tokens
@@ -114,18 +115,18 @@
 	return max(tokens, 0)
 }
 
-func (s *server) remember(c *RequestInfo) {
+func (s *server) recordPromptParts(info *RequestInfo) {
 	s.requests++
-	for _, p := range c.PromptParts {
-		s.parts[c.Model+"/"+c.Adapter+"/"+p.ID] = s.requests
+	for _, p := range info.PromptParts {
+		s.promptParts[info.Model+"/"+info.Adapter+"/"+p.ID] = s.requests
 	}
-	for len(s.parts) > partsKept {
+	for len(s.promptParts) > maxPromptParts {
 		oldest, at := "", s.requests+1
-		for k, n := range s.parts {
+		for k, n := range s.promptParts {
 			if n < at {
 				oldest, at = k, n
 			}
 		}
-		delete(s.parts, oldest)
+		delete(s.promptParts, oldest)
 	}
 }
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -9,46 +9,46 @@
 	"github.com/stretchr/testify/require"
 )
 
-// patientBed serves callers that wait for longer than any test may take: an
-// answer comes at once or never.
-func patientBed(t *testing.T, backends ...*backend) *bed {
+// newTestGatewayWithLongTimeouts starts a gateway whose callers wait longer than any test may
+// take: a response arrives at once or never.
+func newTestGatewayWithLongTimeouts(t *testing.T, backends ...*backend) *testGateway {
 	t.Helper()
-	b := newBed(t, backends...)
-	b.wait = "3600000"
-	patient := routes()
-	for _, r := range patient {
+	tg := newTestGateway(t, backends...)
+	tg.timeoutMs = "3600000"
+	longTimeouts := routes()
+	for _, r := range longTimeouts {
 		r.TimeoutMs = 3600000
 	}
-	b.g.Configure(configuration(2, patient...))
-	return b
+	tg.g.Configure(configuration(2, longTimeouts...))
+	return tg
 }
 
-// A caller waits for a model that no server holds while its entry is stopped.
-// Nothing has been sent, and the process ends before the caller's time is over:
-// the caller is refused as not run, with the moment to ask another entry, where
-// its connection would otherwise be cut without an answer.
-func TestStoppingEntryRefusesWhatStillWaits(t *testing.T) {
-	b := newBed(t, newBackend(t, answers))
+// A caller waits for a model that no server has loaded while its entry is draining. Nothing was
+// sent, and the process ends before the caller's deadline: the request is rejected as not run,
+// with a Retry-After for another entry, instead of its connection being closed without a
+// response.
+func TestStoppingEntryRejectsWaitingRequests(t *testing.T) {
+	tg := newTestGateway(t, newBackend(t, respondOK))
 	got := make(chan result, 1)
-	go func() { got <- b.call(t, "/events/x", "body", "rare") }()
-	require.Eventually(t, func() bool { return b.g.State().Waiting == 1 }, 5*time.Second, time.Millisecond)
-	b.g.StartDraining(time.Now())
-	require.Equal(t, result{status: http.StatusServiceUnavailable, after: "0.05"}, <-got)
+	go func() { got <- tg.call(t, "/events/x", "body", "rare") }()
+	require.Eventually(t, func() bool { return tg.g.State().Waiting == 1 }, 5*time.Second, time.Millisecond)
+	tg.g.StartDraining(time.Now())
+	require.Equal(t, result{status: http.StatusServiceUnavailable, retryAfter: "0.05"}, <-got)
 }
 
-// The entry's time is over while a server is at work, or while a caller waits for
-// a model. The first may have run, so that its caller gets no promise; the second
-// has not run. Both get an answer before the process ends.
-func TestEndAnswersEveryRequest(t *testing.T) {
+// The time of a stopping entry is over while a server runs a request and another request waits
+// for a model. The first may have run, so that its response does not promise otherwise; the
+// second has not run. Both get a response before the process ends.
+func TestAbortAnswersEveryRequest(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	silent := newBackend(t, func(net.Conn, *http.Request) { <-release })
-	b := patientBed(t, silent)
+	tg := newTestGatewayWithLongTimeouts(t, silent)
 	sent, waits := make(chan result, 1), make(chan result, 1)
-	go func() { sent <- b.call(t, "/once/x", "body", "") }()
-	go func() { waits <- b.call(t, "/events/x", "body", "rare") }()
-	require.Eventually(t, func() bool { return silent.seen.Load() == 1 && b.g.State().Waiting == 1 }, 5*time.Second, time.Millisecond)
-	b.g.AbortRequests()
+	go func() { sent <- tg.call(t, "/once/x", "body", "") }()
+	go func() { waits <- tg.call(t, "/events/x", "body", "rare") }()
+	require.Eventually(t, func() bool { return silent.requests.Load() == 1 && tg.g.State().Waiting == 1 }, 5*time.Second, time.Millisecond)
+	tg.g.AbortRequests()
 	require.Equal(t, http.StatusBadGateway, (<-sent).status)
-	require.Equal(t, result{status: http.StatusServiceUnavailable, after: "0.05"}, <-waits)
+	require.Equal(t, result{status: http.StatusServiceUnavailable, retryAfter: "0.05"}, <-waits)
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -11,65 +11,65 @@
 	"fennelyard/internal/schema"
 )
 
-// errGap says that a resumed stream does not go on where the first one ended.
-var errGap = errors.New("the resumed stream leaves a gap")
+// errGap is returned if a resumed stream does not continue where the first one ended.
+var errGap = errors.New("the resumed stream does not continue after the last event")
 
-// stream passes a stream on, event by event. When its server fails, a stream
-// that may be resumed goes on at another one after the last event that has left;
-// the caller sees one answer under the first server's header.
-func (x *exchange) stream(s *server, answer *relay.Response, patience *patience, read func()) bool {
-	last := x.call.LastEventID
+// relayStream forwards a stream event by event. If its server fails, a resumable stream
+// continues at another server after the last event that was sent; the caller receives one
+// response with the header of the first server.
+func (x *exchange) relayStream(s *server, response *relay.Response, timer *attemptTimer, onFirstEvent func()) bool {
+	lastID := x.info.LastEventID
 	for {
-		err := x.events(answer, &last, func() bool {
-			read()
-			return patience.begin()
+		err := x.relayEvents(response, &lastID, func() bool {
+			onFirstEvent()
+			return timer.stop()
 		})
-		answer.Close()
+		response.Close()
 		switch {
 		case err == nil:
-			x.g.fleet.good(s)
-			x.g.guard.AttemptCompleted(x.subject())
+			x.g.fleet.recordSuccess(s)
+			x.g.guard.AttemptCompleted(x.keyedRequest())
 			x.status, x.outcome = http.StatusOK, OutcomeServed
 			return false
 		case errors.Is(err, errCallerGone):
 			x.cause = err
-			x.giveUp(OutcomeCallerGone, 0)
+			x.fail(OutcomeCallerGone, 0)
 			return false
-		case x.g.ended.Err() != nil:
+		case x.g.aborted.Err() != nil:
 			x.cause = err
-			x.giveUp(OutcomeStopping, elsewhereAfter)
+			x.fail(OutcomeStopping, stoppingRetryAfter)
 			return false
 		case x.ctx.Err() != nil:
 			x.cause = err
-			x.giveUp(OutcomeTimeout, 0)
+			x.fail(OutcomeTimeout, 0)
 			return false
 		case !x.started:
-			x.paid = !patience.begin()
-			return x.failedIn(s, err)
+			x.retryReserved = !timer.stop()
+			return x.responseFailed(s, err)
 		}
 		x.cause = err
-		x.g.fleet.bad(s, time.Now())
-		x.brokeOff(s, err)
-		x.tried = append(x.tried, s.id)
-		if s, answer = x.resume(last); answer == nil {
-			x.giveUp(OutcomeCut, 0)
+		x.g.fleet.recordFailure(s, time.Now())
+		x.reportInterruption(s, err)
+		x.excluded = append(x.excluded, s.id)
+		if s, response = x.resume(lastID); response == nil {
+			x.fail(OutcomeCut, 0)
 			return false
 		}
 	}
 }
 
-// events passes events on until the stream ends; nil is a regular end.
-func (x *exchange) events(answer *relay.Response, last *int64, begun func() bool) error {
-	in := relay.NewEventReader(answer.Body)
+// relayEvents forwards events until the stream ends; it returns nil at the regular end.
+func (x *exchange) relayEvents(response *relay.Response, lastID *int64, proceed func() bool) error {
+	in := relay.NewEventReader(response.Body)
 	out := http.NewResponseController(x.w)
-	for came := time.Now(); ; came = time.Now() {
-		b, err := in.Next()
+	for waitStart := time.Now(); ; waitStart = time.Now() {
+		events, err := in.Next()
 		if x.started {
-			x.pause = max(x.pause, time.Since(came))
+			x.maxPause = max(x.maxPause, time.Since(waitStart))
 		}
 		if errors.Is(err, io.EOF) {
 			if !x.started {
-				x.begin(answer)
+				x.startStream(response)
 			}
 			return nil
 		}
@@ -79,19 +79,19 @@
 			}
 			return err
 		}
-		if !begun() {
-			return errGivenUp
+		if !proceed() {
+			return errAttemptTimeout
 		}
-		if first, to, ok := relay.EventIDs(b); ok {
-			if x.started && first != *last+1 {
+		if first, last, ok := relay.EventIDs(events); ok {
+			if x.started && first != *lastID+1 {
 				return errGap
 			}
-			*last = to
+			*lastID = last
 		}
 		if !x.started {
-			x.begin(answer)
+			x.startStream(response)
 		}
-		if _, err = x.w.Write(b); err == nil {
+		if _, err = x.w.Write(events); err == nil {
 			err = out.Flush()
 		}
 		if err != nil {
@@ -100,52 +100,53 @@
 	}
 }
 
-func (x *exchange) begin(answer *relay.Response) {
-	x.pass(answer)
-	x.first = time.Since(x.began)
-	x.w.WriteHeader(answer.Status)
+func (x *exchange) startStream(response *relay.Response) {
+	x.copyHeader(response)
+	x.timeToFirstByte = time.Since(x.startTime)
+	x.w.WriteHeader(response.Status)
 }
 
-// resume asks another server to go on after an event.
-func (x *exchange) resume(last int64) (*server, *relay.Response) {
+// resume continues the stream at another server after the event lastID. It returns nil if no
+// server can.
+func (x *exchange) resume(lastID int64) (*server, *relay.Response) {
 	for {
 		if x.route.GetRepeat() != schema.Repeat_REPEAT_RESUME || x.runs >= int(x.route.GetMaxAttempts()) {
 			return nil, nil
 		}
-		x.g.guard.AwaitProbes(x.ctx, x.subject())
-		if _, held := x.g.guard.HeldBack(x.subject()); held {
+		x.g.guard.AwaitProbes(x.ctx, x.keyedRequest())
+		if _, quarantined := x.g.guard.HeldBack(x.keyedRequest()); quarantined {
 			return nil, nil
 		}
-		if !x.mayResume() {
+		if !x.keyAllowsResume() {
 			return nil, nil
 		}
-		left := time.Until(x.deadline)
-		s := x.g.fleet.choose(x.pool, &x.call, x.tried, time.Now(), x.random)
-		if s == nil || left < minLeft || !x.g.budget(x.pool).spend(time.Now(), x.g.entryCount()) {
+		remaining := time.Until(x.deadline)
+		s := x.g.fleet.choose(x.pool, &x.info, x.excluded, time.Now(), x.random)
+		if s == nil || remaining < minTimeLeft || !x.g.retryBudget(x.pool).withdraw(time.Now(), x.g.entryCount()) {
 			return nil, nil
 		}
 		x.server = s
 		x.attempts++
-		x.tried = append(x.tried, s.id)
-		answer, err := x.g.cfg.Sender.Send(x.ctx, s.address, x.request(left, last))
+		x.excluded = append(x.excluded, s.id)
+		response, err := x.g.cfg.Sender.Send(x.ctx, s.address, x.request(remaining, lastID))
 		if err != nil {
 			x.cause = err
-			x.g.fleet.bad(s, time.Now())
-			x.brokeOff(s, err)
+			x.g.fleet.recordFailure(s, time.Now())
+			x.reportInterruption(s, err)
 			if !errors.Is(err, relay.ErrNotSent) {
 				x.runs++
 			}
 			continue
 		}
-		v := x.g.cfg.Codec.ParseResponse(answer.Status, answer.Header)
-		if v.NotRun {
-			answer.Close()
+		responseInfo := x.g.cfg.Codec.ParseResponse(response.Status, response.Header)
+		if responseInfo.NotRun {
+			response.Close()
 			continue
 		}
 		x.runs++
-		if answer.Status == http.StatusOK && v.Signed {
-			return s, answer
+		if response.Status == http.StatusOK && responseInfo.Signed {
+			return s, response
 		}
-		answer.Close()
+		response.Close()
 	}
 }
--- a/internal/gateway/subscriber.go
+++ b/internal/gateway/subscriber.go
@@ -18,436 +18,440 @@
 )
 
 const (
-	// speakEvery is the time between two words of an entry to its control host. It is
-	// a quarter of the silence after which the host leaves the entry out.
-	speakEvery = 300 * time.Millisecond
-	// speakPause is the least time between two words, for each entry that the host
-	// hears and speakPauseLeast at least: demand that comes meanwhile goes in one word, and
-	// what a host spends on words does not grow with its entries. A word after a longer
-	// silence leaves at once.
-	speakPause      = 1500 * time.Microsecond
-	speakPauseLeast = 5 * time.Millisecond
-	// soonPauses is how many such pauses after a word another one leaves that says only
-	// that more requests wait for what is known to be waited for.
-	soonPauses = 4
-	// hostSilence is how long the host may say nothing; it speaks every
-	// 300 ms, and the first word comes within a round trip.
-	hostSilence = 1200 * time.Millisecond
-	// firstSilence is how long the first word of a host is waited for when all
-	// control hosts are asked the first time: a host without power does not answer
-	// at all, and each of them would otherwise keep callers waiting for a second.
-	// It doubles with each time around, as a slow host needs longer.
-	firstSilence = 150 * time.Millisecond
-	// nextPause is the time between two hosts that are asked the first time around. It
-	// doubles with each time around, three times at most: while no host has a leader, 300
-	// entries would otherwise ask them 6,000 times a second.
-	nextPause      = 50 * time.Millisecond
-	pauseDoublings = 3
-	pauseMost      = 400 * time.Millisecond
-	// refusedPause is the time until another host is asked after one has refused: it has
-	// kept this entry waiting already.
-	refusedPause = 10 * time.Millisecond
-	// moveSpread is the time over which entries move to a host that they prefer, each at a
-	// moment of its own: a host that comes back is not met by a ninth of them at once.
-	moveSpread = 2 * time.Second
+	// reportInterval is the time between two reports of an entry to its control host. It is a
+	// quarter of the timeout after which the host removes the entry.
+	reportInterval = 300 * time.Millisecond
+	// reportPausePerSubscriber, multiplied by the number of entries that subscribe to the host, is
+	// the least time between two reports of an entry; it is at least minReportPause. Demand that
+	// arrives in between is batched into one report, and the load of a host does not grow with its
+	// number of subscribers. A report after a longer silence leaves at once.
+	reportPausePerSubscriber = 1500 * time.Microsecond
+	minReportPause           = 5 * time.Millisecond
+	// deferredReportPauses is the number of such pauses after which a report leaves that contains
+	// only more waiting requests for targets that are reported as waited for already.
+	deferredReportPauses = 4
+	// hostTimeout is how long the host may stay silent. It sends an update every 300 ms, and the
+	// first one arrives within a round trip.
+	hostTimeout = 1200 * time.Millisecond
+	// firstUpdateTimeout is the timeout for a host's first update in the first round over all
+	// control hosts: a host without power does not respond at all, and each such host would
+	// otherwise delay callers by a second. It doubles with each round, as a slow host needs
+	// longer.
+	firstUpdateTimeout = 150 * time.Millisecond
+	// minHostRetryInterval is the time between connecting to two hosts in the first round. It
+	// doubles with each round, at most maxRetryDoublings times and up to maxHostRetryInterval:
+	// while no host has a leader, 300 entries would otherwise send them 6,000 queries a second.
+	minHostRetryInterval = 50 * time.Millisecond
+	maxRetryDoublings    = 3
+	maxHostRetryInterval = 400 * time.Millisecond
+	// refusedRetryInterval is the time before the next host is tried after a rejection, which has
+	// already delayed this entry by a round trip.
+	refusedRetryInterval = 10 * time.Millisecond
+	// maxMoveDelay is the interval over which entries that prefer another host spread their moves,
+	// each after a random delay: otherwise a ninth of all entries would subscribe at once to a
+	// host that returns.
+	maxMoveDelay = 2 * time.Second
 )
 
 var (
-	// errNotLeader says that the host asked does not tell what the leader says.
-	errNotLeader = errors.New("the host does not hear the leader")
-	// errMove says that the entry prefers another host.
-	errMove = errors.New("a control host that this entry prefers is there")
-	// errEarlierTerm says that a host's word is of a leader before the last one heard of.
-	errEarlierTerm = errors.New("the word is of an earlier leader")
-	errHostSilent  = errors.New("the host is silent")
+	// errNoLeaderUpdates is returned if the host does not receive the leader's updates.
+	errNoLeaderUpdates = errors.New("the control host does not receive the leader's updates")
+	// errPreferredHost is returned if the entry moves to a host that it prefers.
+	errPreferredHost = errors.New("a preferred control host is available")
+	// errEarlierTerm is returned if a host's update belongs to an earlier leader than the last one
+	// received.
+	errEarlierTerm = errors.New("the update belongs to an earlier leader")
+	errHostSilent  = errors.New("no message from the control host within the timeout")
 	errStopping    = errors.New("stopping")
 )
 
-// attendant keeps the stream to a control host, which tells what the leader says.
-type attendant struct {
+// subscriber keeps a subscription to one control host, which forwards the leader's updates.
+type subscriber struct {
 	g *Gateway
 	// The fields below belong to the goroutine of run.
 	hosts *controlHosts
-	// moveAt is when to move to a host that is preferred, the zero time: there is none.
+	// moveAt is when to move to a preferred host; the zero time if there is none.
 	moveAt time.Time
-	// started is the entry's start in Unix milliseconds. Streams are numbered from there,
-	// so that a later one has the greater number also after a restart.
-	started uint64
-	// found is set while a host is attended; told is when it was last logged
-	// that there is none.
-	found bool
-	told  time.Time
-	// known is how far the leader's roster is known; named are the servers that were named
-	// since it was told whole, and pruned is set once all others were dropped.
-	known  roster.Position
-	named  map[string]bool
-	pruned bool
+	// startMs is the start of the entry in Unix milliseconds. Streams are numbered from it, so
+	// that a later stream has the greater number even after a restart.
+	startMs uint64
+	// subscribed is set while a host sends updates. lastLogged is when the lack of a host was last
+	// logged.
+	subscribed bool
+	lastLogged time.Time
+	// position is the position up to which the leader's roster is known. namedServers are the
+	// servers in the updates since the last whole roster, and pruned is set once all others were
+	// removed.
+	position     roster.Position
+	namedServers map[string]bool
+	pruned       bool
 
-	// streams counts the streams to control hosts.
-	streams atomic.Uint64
-	// attending is how many entries attend the host, by its last word.
-	attending atomic.Int64
-	// taken is the sequence of the last word of the present stream that is in force
-	// here.
-	taken atomic.Uint64
+	// subscriptions counts the streams to control hosts.
+	subscriptions atomic.Uint64
+	// hostSubscribers is the number of entries that subscribe to the host, by its last update.
+	hostSubscribers atomic.Int64
+	// appliedSequence is the sequence number of the last applied update of the current stream.
+	appliedSequence atomic.Uint64
 
 	mu sync.Mutex
-	// host is the address of the host that is attended, "": none; guarded by mu.
+	// host is the address of the current host, empty for none; guarded by mu.
 	host string
-	// heard is when the leader was last known to lead; guarded by mu.
-	heard time.Time
-	// confirmed is a moment as of which this entry's configuration was the newest that was
-	// acknowledged; guarded by mu.
+	// leaderSeen is when the leader was last known to lead; guarded by mu.
+	leaderSeen time.Time
+	// confirmed is the latest time as of which this entry's configuration is known to have been
+	// the newest acknowledged one; guarded by mu.
 	confirmed time.Time
 }
 
-func newAttendant(g *Gateway) *attendant {
-	return &attendant{
-		g: g, hosts: newControlHosts(g.cfg.Self, g.cfg.Seeds), named: map[string]bool{},
-		started: uint64(time.Now().UnixMilli()),
+func newSubscriber(g *Gateway) *subscriber {
+	return &subscriber{
+		g: g, hosts: newControlHosts(g.cfg.Self, g.cfg.Seeds), namedServers: map[string]bool{},
+		startMs: uint64(time.Now().UnixMilli()),
 	}
 }
 
-func (a *attendant) run() {
+func (s *subscriber) run() {
 	for {
-		pause := a.hosts.pause()
-		if address := a.hosts.next(time.Now()); address != "" {
-			err := a.attend(address)
-			a.logEnd(address, err)
-			a.setHost("")
-			pause = a.ended(address, err)
+		pause := s.hosts.retryInterval()
+		if address := s.hosts.next(time.Now()); address != "" {
+			err := s.subscribe(address)
+			s.logStreamEnd(address, err)
+			s.setHost("")
+			pause = s.streamEnded(address, err)
 		}
-		if !a.pauseOr(pause) {
+		if !s.sleep(pause) {
 			return
 		}
 		select {
-		case <-a.g.stop:
+		case <-s.g.stop:
 			return
 		default:
 		}
 	}
 }
 
-// ended notes why a stream ended, and returns how long to wait before the next one.
-func (a *attendant) ended(address string, err error) time.Duration {
-	if errors.Is(err, errMove) {
+// streamEnded records why a stream ended and returns how long to wait before the next one.
+func (s *subscriber) streamEnded(address string, err error) time.Duration {
+	if errors.Is(err, errPreferredHost) {
 		return 0
 	}
-	lost := a.found
-	a.found = false
-	a.hosts.fail(address, time.Now())
+	wasSubscribed := s.subscribed
+	s.subscribed = false
+	s.hosts.recordFailure(address, time.Now())
 	switch {
-	case errors.Is(err, errNotLeader), errors.Is(err, errEarlierTerm):
-		return max(a.hosts.pause()-nextPause, refusedPause)
+	case errors.Is(err, errNoLeaderUpdates), errors.Is(err, errEarlierTerm):
+		return max(s.hosts.retryInterval()-minHostRetryInterval, refusedRetryInterval)
 	case errors.Is(err, errHostSilent):
-		a.g.cfg.Dialer.Reset(address)
+		s.g.cfg.Dialer.Reset(address)
 	}
-	if lost {
-		return refusedPause
+	if wasSubscribed {
+		return refusedRetryInterval
 	}
-	return a.hosts.pause()
+	return s.hosts.retryInterval()
 }
 
-// logEnd logs that a host was lost, and at most once a second that none is
-// found: the control hosts are tried many times a second.
-func (a *attendant) logEnd(address string, err error) {
-	if a.found {
-		a.g.cfg.Log.Info("control host left", "address", address, "error", asynclog.ErrorText(err))
+// logStreamEnd logs the loss of a host. That no host is found is logged at most once a second,
+// as control hosts are tried many times a second.
+func (s *subscriber) logStreamEnd(address string, err error) {
+	if s.subscribed {
+		s.g.cfg.Log.Info("control host left", "address", address, "error", asynclog.ErrorText(err))
 		return
 	}
-	if time.Since(a.told) > time.Second {
-		a.told = time.Now()
-		a.g.cfg.Log.Info("no control host found", "asked", address, "error", asynclog.ErrorText(err))
+	if time.Since(s.lastLogged) > time.Second {
+		s.lastLogged = time.Now()
+		s.g.cfg.Log.Info("no control host found", "asked", address, "error", asynclog.ErrorText(err))
 	}
 }
 
-func (a *attendant) pauseOr(d time.Duration) bool {
+func (s *subscriber) sleep(d time.Duration) bool {
 	select {
-	case <-a.g.stop:
+	case <-s.g.stop:
 		return false
 	case <-time.After(d):
 		return true
 	}
 }
 
-func (a *attendant) setHost(address string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.host = address
+func (s *subscriber) setHost(address string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.host = address
 }
 
-// firstWordWait is how long a host's first word is waited for after all hosts
-// were asked so many times in vain.
-func firstWordWait(around int) time.Duration {
-	for wait := firstSilence; ; wait *= 2 {
-		if around--; around < 0 || wait >= hostSilence {
-			return min(wait, hostSilence)
+// firstUpdateWait returns the timeout for a host's first update after a number of failed rounds
+// over all hosts.
+func firstUpdateWait(failedRounds int) time.Duration {
+	for wait := firstUpdateTimeout; ; wait *= 2 {
+		if failedRounds--; failedRounds < 0 || wait >= hostTimeout {
+			return min(wait, hostTimeout)
 		}
 	}
 }
 
-// attend attends one host until it is lost, or another is preferred.
-func (a *attendant) attend(address string) error {
-	client, err := a.g.cfg.Dialer.Client(address)
+// subscribe subscribes to one host until the host is lost or another one is preferred.
+func (s *subscriber) subscribe(address string) error {
+	client, err := s.g.cfg.Dialer.Client(address)
 	if err != nil {
-		return errors.Newf("reach control host: %w", err)
+		return errors.Newf("dial control host: %w", err)
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
-	over := make(chan struct{})
-	defer close(over)
+	done := make(chan struct{})
+	defer close(done)
 	go func() {
-		// It ends with the stream or with the gateway.
+		// This goroutine ends with the stream or with the gateway.
 		select {
-		case <-a.g.stop:
+		case <-s.g.stop:
 			cancel(errStopping)
-		case <-over:
+		case <-done:
 		}
 	}()
-	silence := time.AfterFunc(firstWordWait(a.hosts.around()), func() { cancel(errHostSilent) })
-	defer silence.Stop()
+	timeout := time.AfterFunc(firstUpdateWait(s.hosts.failedRounds()), func() { cancel(errHostSilent) })
+	defer timeout.Stop()
 	stream, err := client.Attend(ctx)
 	if err != nil {
-		return errors.Newf("attend: %w", err)
+		return errors.Newf("subscribe: %w", err)
 	}
-	a.taken.Store(0)
-	a.moveAt = time.Time{}
-	first := &schema.EntryNews{
-		Entry: a.g.cfg.Self, After: a.g.cfg.Replica.Revision(), Known: a.known.Message(), Stream: a.started + a.streams.Add(1),
-		StartedMs: a.started,
+	s.appliedSequence.Store(0)
+	s.moveAt = time.Time{}
+	report := &schema.EntryNews{
+		Entry: s.g.cfg.Self, After: s.g.cfg.Replica.Revision(), Known: s.position.Message(), Stream: s.startMs + s.subscriptions.Add(1),
+		StartedMs: s.startMs,
 	}
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		a.speak(ctx, stream, first)
+		s.sendReports(ctx, stream, report)
 	}()
 	defer wg.Wait()
 	defer cancel(nil)
-	for told := false; ; {
-		news, err := stream.Recv()
+	for started := false; ; {
+		update, err := stream.Recv()
 		if err != nil {
 			if cause := context.Cause(ctx); cause != nil {
 				err = cause
 			}
-			return errors.Newf("hear control host: %w", err)
+			return errors.Newf("receive from control host: %w", err)
 		}
-		silence.Reset(hostSilence)
-		if news.GetNotLeader() {
-			a.refused(news)
-			return errNotLeader
+		timeout.Reset(hostTimeout)
+		if update.GetNotLeader() {
+			s.applyRejection(update)
+			return errNoLeaderUpdates
 		}
-		if news.GetWait() {
+		if update.GetWait() {
 			continue
 		}
-		if !told {
-			told = true
-			a.begin(address, news)
+		if !started {
+			started = true
+			s.streamStarted(address, update)
 		}
-		if err := a.take(news); err != nil {
-			return errors.Newf("take word: %w", err)
+		if err := s.applyUpdate(update); err != nil {
+			return errors.Newf("apply update: %w", err)
 		}
-		if a.moves(address, time.Now()) {
-			return errMove
+		if s.shouldMove(address, time.Now()) {
+			return errPreferredHost
 		}
 	}
 }
 
-// begin notes that a host tells what the leader says.
-func (a *attendant) begin(address string, news *schema.LeaderNews) {
-	a.found = true
-	a.hosts.found(address)
-	a.setHost(address)
-	a.g.cfg.Log.Info("control host attended", "address", address, "term", news.GetKnown().GetTerm(),
-		"leader-age-ms", news.GetLeaderAgeMs(), "whole", news.GetWhole())
+// streamStarted records that a host sends the leader's updates.
+func (s *subscriber) streamStarted(address string, update *schema.LeaderNews) {
+	s.subscribed = true
+	s.hosts.recordSuccess(address)
+	s.setHost(address)
+	s.g.cfg.Log.Info("control host attended", "address", address, "term", update.GetKnown().GetTerm(),
+		"leader-age-ms", update.GetLeaderAgeMs(), "whole", update.GetWhole())
 }
 
-// refused takes in what a host says that tells nothing.
-func (a *attendant) refused(news *schema.LeaderNews) {
-	if known := news.GetControlAddresses(); len(known) > 0 {
-		a.hosts.members = known
+// applyRejection applies the addresses in the rejection of a host without leader updates.
+func (s *subscriber) applyRejection(update *schema.LeaderNews) {
+	if members := update.GetControlAddresses(); len(members) > 0 {
+		s.hosts.members = members
 	}
-	a.hosts.hint = news.GetLeaderAddress()
+	s.hosts.hint = update.GetLeaderAddress()
 }
 
-// moves reports whether to go to a host that this entry prefers, now.
-func (a *attendant) moves(from string, now time.Time) bool {
-	switch to := a.hosts.better(from, now); {
-	case to == "":
-		a.moveAt = time.Time{}
-	case a.moveAt.IsZero():
-		a.moveAt = now.Add(rand.N(moveSpread))
-	case now.After(a.moveAt):
-		a.g.cfg.Log.Info("control host preferred", "from", from, "to", to)
+// shouldMove reports whether to move now to a host that this entry prefers.
+func (s *subscriber) shouldMove(current string, now time.Time) bool {
+	switch preferred := s.hosts.preferredTo(current, now); {
+	case preferred == "":
+		s.moveAt = time.Time{}
+	case s.moveAt.IsZero():
+		s.moveAt = now.Add(rand.N(maxMoveDelay))
+	case now.After(s.moveAt):
+		s.g.cfg.Log.Info("control host preferred", "from", current, "to", preferred)
 		return true
 	}
 	return false
 }
 
-func (a *attendant) speak(ctx context.Context, stream grpc.BidiStreamingClient[schema.EntryNews, schema.LeaderNews], news *schema.EntryNews) {
-	ticker := time.NewTicker(speakEvery)
+func (s *subscriber) sendReports(ctx context.Context, stream grpc.BidiStreamingClient[schema.EntryNews, schema.LeaderNews], report *schema.EntryNews) {
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
-	suspects := a.g.guard.Suspects().Reader(quarantine.PartNoted)
-	for due := true; ; {
-		news.Suspects = suspects.Next()
-		news.Stopping = a.g.stopping.Load()
-		news.Demands = a.g.asked.collect()
-		news.Taken = a.taken.Load()
-		if due {
-			news.Loads, news.LoadsTold = a.g.fleet.loads(), true
-			news.TeamUses = a.g.quotas.Report(time.Now())
+	suspects := s.g.guard.Suspects().Reader(quarantine.PartNoted)
+	for periodic := true; ; {
+		report.Suspects = suspects.Next()
+		report.Stopping = s.g.draining.Load()
+		report.Demands = s.g.demand.collect()
+		report.Taken = s.appliedSequence.Load()
+		if periodic {
+			report.Loads, report.LoadsTold = s.g.fleet.reportLoads(), true
+			report.TeamUses = s.g.quotas.Report(time.Now())
 		}
-		news.SentUs = uint64(time.Since(a.g.began).Microseconds())
-		if err := stream.Send(news); err != nil {
+		report.SentUs = uint64(time.Since(s.g.startTime).Microseconds())
+		if err := stream.Send(report); err != nil {
 			return
 		}
-		news = &schema.EntryNews{}
+		report = &schema.EntryNews{}
 		var ok bool
-		if due, ok = a.rest(ctx, ticker); !ok {
+		if periodic, ok = s.awaitReport(ctx, ticker); !ok {
 			return
 		}
 	}
 }
 
-// rest waits until another word to the host is due. due is set where that is for its beat;
-// ok is false when there is nobody to tell any more.
-func (a *attendant) rest(ctx context.Context, ticker *time.Ticker) (due, ok bool) {
-	pause := max(speakPauseLeast, time.Duration(a.attending.Load())*speakPause)
+// awaitReport waits until the next report to the host is due. periodic is set if the report
+// interval has elapsed; ok is false if the stream has ended.
+func (s *subscriber) awaitReport(ctx context.Context, ticker *time.Ticker) (periodic, ok bool) {
+	pause := max(minReportPause, time.Duration(s.hostSubscribers.Load())*reportPausePerSubscriber)
 	select {
 	case <-ctx.Done():
 		return false, false
 	case <-time.After(pause):
 	}
-	soon := time.NewTimer((soonPauses - 1) * pause)
-	defer soon.Stop()
-	for asked, over := false, false; !asked || !over; {
+	deferral := time.NewTimer((deferredReportPauses - 1) * pause)
+	defer deferral.Stop()
+	for pending, elapsed := false, false; !pending || !elapsed; {
 		select {
 		case <-ctx.Done():
 			return false, false
 		case <-ticker.C:
 			return true, true
-		case <-a.g.asked.urgent:
+		case <-s.g.demand.urgent:
 			return false, true
-		case <-a.g.asked.soon:
-			asked = true
-		case <-soon.C:
-			over = true
+		case <-s.g.demand.deferred:
+			pending = true
+		case <-deferral.C:
+			elapsed = true
 		}
 	}
 	return false, true
 }
 
-// changesOf returns the changes that the leader tells, nil: none.
-func changesOf(news *schema.LeaderNews) (*schema.Changes, error) {
-	if len(news.GetChanges()) == 0 {
+// decodeChanges returns the configuration changes of an update, nil for none.
+func decodeChanges(update *schema.LeaderNews) (*schema.Changes, error) {
+	if len(update.GetChanges()) == 0 {
 		return nil, nil
 	}
 	c := &schema.Changes{}
-	if err := proto.Unmarshal(news.GetChanges(), c); err != nil {
+	if err := proto.Unmarshal(update.GetChanges(), c); err != nil {
 		return nil, errors.Newf("decode changes: %w", err)
 	}
 	return c, nil
 }
 
-func (a *attendant) take(news *schema.LeaderNews) error {
-	known := roster.PositionOf(news.GetKnown())
-	if known.Term < a.known.Term {
+func (s *subscriber) applyUpdate(update *schema.LeaderNews) error {
+	position := roster.PositionOf(update.GetKnown())
+	if position.Term < s.position.Term {
 		return errEarlierTerm
 	}
-	a.mu.Lock()
-	a.heard = time.Now().Add(-time.Duration(news.GetLeaderAgeMs()) * time.Millisecond)
-	a.mu.Unlock()
-	a.attending.Store(int64(news.GetAttending()))
-	if members := news.GetControlAddresses(); len(members) > 0 {
-		a.hosts.members = members
+	s.mu.Lock()
+	s.leaderSeen = time.Now().Add(-time.Duration(update.GetLeaderAgeMs()) * time.Millisecond)
+	s.mu.Unlock()
+	s.hostSubscribers.Store(int64(update.GetAttending()))
+	if members := update.GetControlAddresses(); len(members) > 0 {
+		s.hosts.members = members
 	}
-	if l := news.GetHosts(); l != nil {
-		a.hosts.named = l.GetHosts()
+	if l := update.GetHosts(); l != nil {
+		s.hosts.followers = l.GetHosts()
 	}
-	// Before the configuration, with which an entry that has just started begins to serve.
-	a.g.guard.Suspects().Merge(news.GetSuspects(), true)
-	c, err := changesOf(news)
+	// Suspects are applied before the configuration, as a newly started entry begins to serve once
+	// it has a configuration.
+	s.g.guard.Suspects().Merge(update.GetSuspects(), true)
+	c, err := decodeChanges(update)
 	if err != nil {
-		// The host takes them for told; only a new stream brings them again.
+		// The host considers these changes sent; only a new stream sends them again.
 		return err
 	}
 	if c != nil {
-		a.g.configure(c)
+		s.g.configure(c)
 	}
-	a.confirm(news)
-	a.takeServers(news)
-	a.known = known
-	if l := news.GetLoads(); l != nil {
-		a.g.fleet.hear(l.GetLoads())
+	s.recordConfirmation(update)
+	s.applyServers(update)
+	s.position = position
+	if l := update.GetLoads(); l != nil {
+		s.g.fleet.setLoads(l.GetLoads())
 	}
-	if u := news.GetTeamUses(); u != nil {
-		a.g.quotas.SetTotals(u)
+	if u := update.GetTeamUses(); u != nil {
+		s.g.quotas.SetTotals(u)
 	}
-	if l := news.GetEntries(); l != nil {
-		a.g.setEntries(l.GetEntries())
+	if l := update.GetEntries(); l != nil {
+		s.g.setEntries(l.GetEntries())
 	}
-	a.g.asked.forecast(news.GetForecasts(), time.Now())
-	a.taken.Store(news.GetSequence())
-	if news.GetConfirm() {
-		a.g.speakSoon()
+	s.g.demand.setForecasts(update.GetForecasts(), time.Now())
+	s.appliedSequence.Store(update.GetSequence())
+	if update.GetConfirm() {
+		s.g.reportNow()
 	}
 	return nil
 }
 
-// confirm notes as of when this entry's configuration is confirmed. The time runs from the
-// message that the host answers, on this entry's clock: an answer that was long under way,
-// or that a frozen entry reads late, proves as little as it should.
-func (a *attendant) confirm(news *schema.LeaderNews) {
-	echo := news.GetEchoUs()
+// recordConfirmation records as of when this entry's configuration is confirmed. The time
+// counts from when the message that the host acknowledges was sent, by this entry's clock: an
+// update that was delayed in the network, or that a frozen entry reads late, does not confirm a
+// later time.
+func (s *subscriber) recordConfirmation(update *schema.LeaderNews) {
+	echo := update.GetEchoUs()
 	if echo == 0 {
 		return
 	}
-	at := a.g.began.Add(time.Duration(echo)*time.Microsecond - time.Duration(news.GetConfirmedAgeMs())*time.Millisecond)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if at.After(a.confirmed) {
-		a.confirmed = at
+	at := s.g.startTime.Add(time.Duration(echo)*time.Microsecond - time.Duration(update.GetConfirmedAgeMs())*time.Millisecond)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if at.After(s.confirmed) {
+		s.confirmed = at
 	}
 }
 
-// confirmedAt is the moment as of which this entry's configuration is known to be the newest
-// that was acknowledged; the zero time: never.
-func (a *attendant) confirmedAt() time.Time {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.confirmed
+// confirmedAt returns the time as of which this entry's configuration is known to have been the
+// newest acknowledged one; the zero time: never.
+func (s *subscriber) confirmedAt() time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.confirmed
 }
 
-// takeServers takes the servers in that a word names.
-func (a *attendant) takeServers(news *schema.LeaderNews) {
-	if news.GetWhole() {
-		a.named, a.pruned = map[string]bool{}, false
+// applyServers applies the servers of an update.
+func (s *subscriber) applyServers(update *schema.LeaderNews) {
+	if update.GetWhole() {
+		s.namedServers, s.pruned = map[string]bool{}, false
 	}
-	for _, s := range news.GetServers() {
-		a.named[s.GetId()] = s.GetState() != schema.RosterState_ROSTER_STATE_GONE
+	for _, server := range update.GetServers() {
+		s.namedServers[server.GetId()] = server.GetState() != schema.RosterState_ROSTER_STATE_GONE
 	}
-	prune := news.GetSettled() && !a.pruned
-	if len(news.GetServers()) == 0 && !prune {
+	prune := update.GetSettled() && !s.pruned
+	if len(update.GetServers()) == 0 && !prune {
 		return
 	}
-	a.g.fleet.update(news.GetServers(), prune, a.named)
-	a.pruned = a.pruned || prune
-	a.g.logServers(news)
+	s.g.fleet.update(update.GetServers(), prune, s.namedServers)
+	s.pruned = s.pruned || prune
+	s.g.logServers(update)
 }
 
-// attended returns the host that is attended, "": none.
-func (a *attendant) attended() string {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.host
+// currentHost returns the host that the entry subscribes to, empty for none.
+func (s *subscriber) currentHost() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.host
 }
 
-// age returns how long ago the leader was known to lead.
-func (a *attendant) age() time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.heard.IsZero() {
+// leaderAge returns the time since the leader was last known to lead; negative: never.
+func (s *subscriber) leaderAge() time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.leaderSeen.IsZero() {
 		return -1
 	}
-	return time.Since(a.heard)
+	return time.Since(s.leaderSeen)
 }
--- a/internal/gateway/subscriber_test.go
+++ b/internal/gateway/subscriber_test.go
@@ -17,19 +17,19 @@
 	"fennelyard/internal/schema"
 )
 
-type attendStream = grpc.BidiStreamingServer[schema.EntryNews, schema.LeaderNews]
+type subscriptionStream = grpc.BidiStreamingServer[schema.EntryNews, schema.LeaderNews]
 
-// newLeader answers entries on loopback.
-func newLeader(t *testing.T, attend func(attendStream) error) string {
+// newControlHost starts a control host on the loopback interface that serves subscriptions.
+func newControlHost(t *testing.T, subscribe func(subscriptionStream) error) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := peer.NewServer(peer.ServerConfig{Listener: l, Handlers: peer.Handlers{Attend: attend}})
+	s := peer.NewServer(peer.ServerConfig{Listener: l, Handlers: peer.Handlers{Attend: subscribe}})
 	t.Cleanup(s.Stop)
 	return l.Addr().String()
 }
 
-func attending(t *testing.T, seeds ...string) *gateway.Gateway {
+func newSubscribingGateway(t *testing.T, seeds ...string) *gateway.Gateway {
 	t.Helper()
 	dialer := peer.NewDialer(peer.DialerConfig{})
 	t.Cleanup(dialer.Close)
@@ -39,8 +39,8 @@
 	})
 }
 
-// encoded is a configuration as the leader sends it.
-func encoded(c *schema.Changes) []byte {
+// encodeChanges encodes configuration changes as in an update of the leader.
+func encodeChanges(c *schema.Changes) []byte {
 	data, err := proto.Marshal(c)
 	if err != nil {
 		panic(err)
@@ -48,14 +48,14 @@
 	return data
 }
 
-// beats tells an entry a configuration and then speaks every few milliseconds.
-func beats(stream attendStream) error {
-	news := &schema.LeaderNews{Changes: encoded(configuration(3, routes()...))}
+// sendUpdates sends a configuration and then an empty update every 20 ms.
+func sendUpdates(stream subscriptionStream) error {
+	update := &schema.LeaderNews{Changes: encodeChanges(configuration(3, routes()...))}
 	for {
-		if err := stream.Send(news); err != nil {
+		if err := stream.Send(update); err != nil {
 			return err
 		}
-		news = &schema.LeaderNews{}
+		update = &schema.LeaderNews{}
 		select {
 		case <-stream.Context().Done():
 			return nil
@@ -64,46 +64,47 @@
 	}
 }
 
-// An entry stops while its leader speaks on. The process must end at once: it
-// once waited for the leader's silence and was killed at the end of its time.
-func TestStopWhileTheLeaderSpeaks(t *testing.T) {
-	g := attending(t, newLeader(t, beats))
+// An entry stops while its control host keeps sending updates. Close must return at once: if it
+// waits until the host is silent, the process is killed at the end of its stop timeout.
+func TestCloseDuringUpdates(t *testing.T) {
+	g := newSubscribingGateway(t, newControlHost(t, sendUpdates))
 	require.Eventually(t, g.Ready, 20*time.Second, 5*time.Millisecond)
 	g.Close()
 }
 
-// The first host asked names the leader, which is no seed. The entry goes there.
-func TestEntryFollowsToTheLeader(t *testing.T) {
-	leader := newLeader(t, beats)
-	other := newLeader(t, func(s attendStream) error {
+// The first host rejects the entry and names the leader, which is not a seed. The entry
+// subscribes there.
+func TestEntryFollowsLeaderHint(t *testing.T) {
+	leader := newControlHost(t, sendUpdates)
+	other := newControlHost(t, func(s subscriptionStream) error {
 		return s.Send(&schema.LeaderNews{NotLeader: true, LeaderAddress: leader})
 	})
-	g := attending(t, other)
+	g := newSubscribingGateway(t, other)
 	defer g.Close()
 	require.Eventually(t, g.Ready, 20*time.Second, 5*time.Millisecond)
 	require.Equal(t, int64(3), g.State().Version)
 }
 
-// The leader falls silent while its connection stays open, as behind a partition
-// or a device that lost track of it. The entry goes to the next control host and
-// gets what is newer there.
-func TestEntryLeavesASilentLeader(t *testing.T) {
-	silent := newLeader(t, func(s attendStream) error {
-		if err := s.Send(&schema.LeaderNews{Changes: encoded(configuration(2, routes()...))}); err != nil {
+// A control host becomes silent while its connection stays open, as behind a partition or a
+// network device that lost the connection's state. The entry moves to the next control host and
+// receives the newer configuration there.
+func TestEntryLeavesSilentControlHost(t *testing.T) {
+	silent := newControlHost(t, func(s subscriptionStream) error {
+		if err := s.Send(&schema.LeaderNews{Changes: encodeChanges(configuration(2, routes()...))}); err != nil {
 			return err
 		}
 		<-s.Context().Done()
 		return nil
 	})
-	g := attending(t, silent, newLeader(t, beats))
+	g := newSubscribingGateway(t, silent, newControlHost(t, sendUpdates))
 	defer g.Close()
 	require.Eventually(t, func() bool { return g.State().Version == 3 }, 20*time.Second, 5*time.Millisecond)
 }
 
-// A host without power does not answer at all. It costs callers a moment while
-// all are asked the first time, and more only where every host is slow.
-func TestFirstWordOfSilentHosts(t *testing.T) {
-	for around, want := range []time.Duration{150, 300, 600, 1200, 1200} {
-		require.Equal(t, want*time.Millisecond, gateway.FirstWordWait(around), around)
+// A host without power does not respond at all. It delays callers only briefly in the first
+// round over all hosts, and longer only if every host is slow.
+func TestFirstUpdateTimeout(t *testing.T) {
+	for failedRounds, want := range []time.Duration{150, 300, 600, 1200, 1200} {
+		require.Equal(t, want*time.Millisecond, gateway.FirstUpdateWait(failedRounds), failedRounds)
 	}
 }
--- a/internal/gateway/table.go
+++ b/internal/gateway/table.go
@@ -1,6 +1,6 @@
-// Package gateway takes callers' requests on routes of a complete configuration,
-// chooses a backend server for each and passes the answer on. It holds no
-// durable state: what it knows comes from the leader of the control group.
+// Package gateway receives callers' requests on the routes of a configuration, chooses a
+// backend server for each and forwards the response. It has no durable state: what it knows
+// comes from the leader of the control group.
 package gateway
 
 import (
@@ -14,31 +14,31 @@
 	"fennelyard/internal/team"
 )
 
-// table is a configuration as requests are matched against it; it is never
-// changed.
-type table struct {
+// routeTable is an immutable configuration that requests are matched against.
+type routeTable struct {
 	version uint64
 	limits  *schema.CallerLimits
 	// byHost holds the routes of a host, the longest prefix first.
 	byHost map[string][]*schema.Route
 	pools  map[string]*schema.Pool
 	teams  *team.Directory
-	// gaps is the shortest pause that a stream to each pool is allowed; 0: none is told.
-	gaps map[string]time.Duration
+	// minGaps is the shortest pause between events that a route allows the streams of each pool;
+	// pools without one are missing.
+	minGaps map[string]time.Duration
 }
 
-func newTable(r *ledger.Records) *table {
+func newRouteTable(r *ledger.Records) *routeTable {
 	head := r.Configuration()
 	if head == nil {
 		return nil
 	}
-	t := &table{
+	t := &routeTable{
 		version: head.GetVersion(), limits: head.GetLimits(),
-		byHost: map[string][]*schema.Route{}, pools: map[string]*schema.Pool{}, gaps: map[string]time.Duration{},
+		byHost: map[string][]*schema.Route{}, pools: map[string]*schema.Pool{}, minGaps: map[string]time.Duration{},
 	}
 	for _, route := range r.Routes() {
 		t.byHost[route.GetHost()] = append(t.byHost[route.GetHost()], route)
-		t.allow(route)
+		t.addGap(route)
 	}
 	for _, routes := range t.byHost {
 		slices.SortFunc(routes, func(a, b *schema.Route) int { return cmp.Compare(len(b.GetPrefix()), len(a.GetPrefix())) })
@@ -50,21 +50,21 @@
 	return t
 }
 
-// allow notes the pauses that a route allows the streams of its pools.
-func (t *table) allow(r *schema.Route) {
+// addGap adds the pause between events that a route allows to its pools.
+func (t *routeTable) addGap(r *schema.Route) {
 	gap := time.Duration(r.GetGapMs()) * time.Millisecond
 	if !r.GetStream() || gap <= 0 {
 		return
 	}
 	for _, s := range r.GetShares() {
-		if least := t.gaps[s.GetPool()]; least == 0 || gap < least {
-			t.gaps[s.GetPool()] = gap
+		if current := t.minGaps[s.GetPool()]; current == 0 || gap < current {
+			t.minGaps[s.GetPool()] = gap
 		}
 	}
 }
 
 // match returns the route of a request, or nil.
-func (t *table) match(host, path string) *schema.Route {
+func (t *routeTable) match(host, path string) *schema.Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && t.byHost[host] == nil {
 		host = host[:i]
 	}
@@ -76,9 +76,9 @@
 	return nil
 }
 
-// share picks the pool of a request by the route's weights; random returns a
-// number below its argument.
-func share(r *schema.Route, random func(n int) int) string {
+// pickPool picks the pool of a request by the route's weights; random returns a number from 0
+// to below its argument.
+func pickPool(r *schema.Route, random func(n int) int) string {
 	total := 0
 	for _, s := range r.GetShares() {
 		total += int(s.GetWeight())
@@ -86,9 +86,9 @@
 	if total == 0 {
 		return ""
 	}
-	at := random(total)
+	point := random(total)
 	for _, s := range r.GetShares() {
-		if at -= int(s.GetWeight()); at < 0 {
+		if point -= int(s.GetWeight()); point < 0 {
 			return s.GetPool()
 		}
 	}
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -6,40 +6,40 @@
 )
 
 const (
-	// unknownWait is how long a request waits for a model of whose load the
-	// leader has said nothing: a word takes milliseconds while there is a leader,
-	// and a new leader is there within two seconds.
-	unknownWait = 2 * time.Second
-	// firstToken is how long an engine takes from a load's end to the first event
-	// of a long prompt, none of which it has kept.
-	firstToken = 300 * time.Millisecond
-	// recheck is how often a waiting request looks at the leader's word again.
-	recheck = 50 * time.Millisecond
+	// maxWaitWithoutForecast is how long a request waits for a model without a forecast of the
+	// leader: an update takes milliseconds while there is a leader, and a new leader is elected
+	// within two seconds.
+	maxWaitWithoutForecast = 2 * time.Second
+	// firstEventLatency is the time that an engine needs from the end of a load to the first event
+	// of a long prompt without any cached part.
+	firstEventLatency = 300 * time.Millisecond
+	// forecastRecheckInterval is how often a waiting request checks the leader's forecast again.
+	forecastRecheckInterval = 50 * time.Millisecond
 )
 
-// await waits for a change that may bring the model. It refuses the request as
-// soon as the leader's word shows that the model will not be there in time.
-func (x *exchange) await(changed <-chan struct{}) bool {
+// awaitServer waits for a change that may make the model available. It rejects the request as
+// soon as the leader's forecast shows that the model will not be loaded in time.
+func (x *exchange) awaitServer(changed <-chan struct{}) bool {
 	t := x.target()
-	began := time.Now()
-	x.g.asked.wait(t, 1)
+	start := time.Now()
+	x.g.demand.addWaiting(t, 1)
 	defer func() {
-		x.g.asked.wait(t, -1)
-		x.waited += time.Since(began)
+		x.g.demand.addWaiting(t, -1)
+		x.waited += time.Since(start)
 	}()
-	timer := time.NewTimer(recheck)
+	timer := time.NewTimer(forecastRecheckInterval)
 	defer timer.Stop()
 	for {
-		if outcome, after, hopeless := x.hopeless(t, time.Now()); hopeless {
-			x.giveUp(outcome, after)
+		if outcome, retryAfter, unservable := x.unservable(t, time.Now()); unservable {
+			x.fail(outcome, retryAfter)
 			return false
 		}
 		select {
 		case <-changed:
 			return true
 		case <-timer.C:
-			timer.Reset(recheck)
-			if x.g.fleet.choose(x.pool, &x.call, x.tried, time.Now(), x.random) != nil {
+			timer.Reset(forecastRecheckInterval)
+			if x.g.fleet.choose(x.pool, &x.info, x.excluded, time.Now(), x.random) != nil {
 				return true
 			}
 		case <-x.ctx.Done():
@@ -49,113 +49,113 @@
 	}
 }
 
-// waitEnded answers a request whose time to wait is over.
+// waitEnded responds to a request that cannot wait any longer.
 func (x *exchange) waitEnded() {
 	switch {
 	case x.r.Context().Err() != nil:
-		x.giveUp(OutcomeCallerGone, 0)
-	case x.g.ended.Err() != nil:
-		x.giveUp(OutcomeStopping, elsewhereAfter)
+		x.fail(OutcomeCallerGone, 0)
+	case x.g.aborted.Err() != nil:
+		x.fail(OutcomeStopping, stoppingRetryAfter)
 	default:
-		x.giveUp(OutcomeTimeout, refuseAfter)
+		x.fail(OutcomeTimeout, defaultRetryAfter)
 	}
 }
 
-// hopeless tells whether a request for a model that no server holds cannot be
-// served in time, as what it ends then, and when to come back.
-func (x *exchange) hopeless(t target, now time.Time) (o Outcome, after time.Duration, yes bool) {
-	if left, held := x.g.guard.HeldBack(x.subject()); held {
-		return OutcomeHeldBack, left, true
+// unservable reports whether a request for a model that no server has loaded cannot be served
+// in time, with its outcome and its Retry-After.
+func (x *exchange) unservable(t target, now time.Time) (outcome Outcome, retryAfter time.Duration, unservable bool) {
+	if remaining, quarantined := x.g.guard.HeldBack(x.keyedRequest()); quarantined {
+		return OutcomeHeldBack, remaining, true
 	}
-	e, known := x.g.asked.expect(t, x.began)
-	expected := known && !e.ready.IsZero()
-	// A request that waits until the process ends would be cut off without an answer,
-	// by the only party that knows that it has not run.
-	if by := x.g.sendBy.Load(); by != nil && (!now.Before(*by) || expected && e.ready.After(*by)) {
-		return OutcomeStopping, elsewhereAfter, true
+	forecast, known := x.g.demand.forecast(t, x.startTime)
+	expected := known && !forecast.ready.IsZero()
+	// A request that waits until the process ends would be interrupted without a response,
+	// although only this entry knows that it has not run.
+	if deadline := x.g.sendDeadline.Load(); deadline != nil && (!now.Before(*deadline) || expected && forecast.ready.After(*deadline)) {
+		return OutcomeStopping, stoppingRetryAfter, true
 	}
 	if !expected {
-		return OutcomeNoModel, refuseAfter, now.Sub(x.began) > unknownWait
+		return OutcomeNoModel, defaultRetryAfter, now.Sub(x.startTime) > maxWaitWithoutForecast
 	}
-	return OutcomeNoModel, max(e.ready.Sub(now), refuseAfter), e.ready.Add(firstToken).After(x.firstBy())
+	return OutcomeNoModel, max(forecast.ready.Sub(now), defaultRetryAfter), forecast.ready.Add(firstEventLatency).After(x.firstByteDeadline())
 }
 
 const (
-	// Callers leave a stream whose next event does not come within the longest of
-	// these: a fixed time, a multiple of the route's aim, and one of its longest
+	// Callers disconnect from a stream whose next event does not arrive within the longest of
+	// these: a fixed time, a multiple of the route's aim, and a multiple of the route's longest
 	// pause that is still on time.
-	leaveAfter     = 2 * time.Second
-	leaveAfterAims = 4
-	leaveAfterGaps = 8
+	minCallerTimeout  = 2 * time.Second
+	callerTimeoutAims = 4
+	callerTimeoutGaps = 8
 )
 
-// firstBy is until when a caller waits for the first byte of an answer.
-func (x *exchange) firstBy() time.Time {
+// firstByteDeadline returns until when a caller waits for the first byte of a response.
+func (x *exchange) firstByteDeadline() time.Time {
 	if !x.route.GetStream() {
 		return x.deadline
 	}
-	patience := max(leaveAfter, time.Duration(leaveAfterAims*x.route.GetAimMs())*time.Millisecond,
-		time.Duration(leaveAfterGaps*x.route.GetGapMs())*time.Millisecond)
-	if by := x.began.Add(patience); by.Before(x.deadline) {
-		return by
+	timeout := max(minCallerTimeout, time.Duration(callerTimeoutAims*x.route.GetAimMs())*time.Millisecond,
+		time.Duration(callerTimeoutGaps*x.route.GetGapMs())*time.Millisecond)
+	if deadline := x.startTime.Add(timeout); deadline.Before(x.deadline) {
+		return deadline
 	}
 	return x.deadline
 }
 
-// pace is how long a plain pool's servers take for a request. All methods are
-// safe from any goroutine.
-type pace struct {
+// latency estimates how long a plain pool's servers take for a request. It is safe for
+// concurrent use.
+type latency struct {
 	mu sync.Mutex
-	// mean is the moving mean of the time from dispatch to answer.
+	// mean is the moving average of the time from dispatch to response.
 	mean time.Duration
 }
 
-// paceWeight is the weight of a new time in the mean: some ten requests, about a
-// second of an entry's requests to a plain service.
-const paceWeight = 10
+// latencySamples is the number of requests over which the mean is averaged: about a second of
+// an entry's requests to a plain service.
+const latencySamples = 10
 
-func (p *pace) observe(took time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.mean == 0 {
-		p.mean = took
+func (l *latency) observe(took time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.mean == 0 {
+		l.mean = took
 	}
-	p.mean += (took - p.mean) / paceWeight
+	l.mean += (took - l.mean) / latencySamples
 }
 
-// wait is when a refused caller should come back: once what is there now should
+// retryAfter returns the Retry-After of a rejected request: by then the current requests should
 // have been served.
-func (p *pace) wait() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return max(p.mean*2, 100*time.Millisecond)
+func (l *latency) retryAfter() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return max(l.mean*2, 100*time.Millisecond)
 }
 
-// expect is how long a request behind n others per place takes.
-func (p *pace) expect(perPlace float64) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return time.Duration(float64(p.mean) * perPlace)
+// queueTime returns the expected time of a request with this many others ahead of it per slot.
+func (l *latency) queueTime(perSlot float64) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return time.Duration(float64(l.mean) * perSlot)
 }
 
-// fits refuses a request to a plain service at once when what this entry has
-// there already, taken as its part of what all entries have, can't be served
-// before the deadline. It would only lengthen a queue whose end comes too late.
-func (x *exchange) fits() bool {
-	running, slots := x.g.fleet.occupied(x.pool)
+// fitsDeadline reports whether a request to a plain service can be served before its deadline,
+// by the load of this entry taken as its share of the load of all entries. Otherwise it rejects
+// the request at once, as the request would only lengthen a queue that is served too late.
+func (x *exchange) fitsDeadline() bool {
+	running, slots := x.g.fleet.poolUsage(x.pool)
 	if slots == 0 {
 		return true
 	}
-	perPlace := float64(running*max(x.g.entryCount(), 1)) / float64(slots)
-	if perPlace < 1 || x.g.pace(x.pool).expect(perPlace) < time.Until(x.deadline) {
+	perSlot := float64(running*max(x.g.entryCount(), 1)) / float64(slots)
+	if perSlot < 1 || x.g.latency(x.pool).queueTime(perSlot) < time.Until(x.deadline) {
 		return true
 	}
-	x.giveUp(OutcomeBusy, x.g.pace(x.pool).wait())
+	x.fail(OutcomeBusy, x.g.latency(x.pool).retryAfter())
 	return false
 }
 
-// occupied returns this entry's requests at a pool and the pool's places.
-func (f *fleet) occupied(pool string) (running, slots int) {
+// poolUsage returns this entry's requests at a pool and the pool's slots.
+func (f *fleet) poolUsage(pool string) (running, slots int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
