--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,4 +1,4 @@
-// Package directory decides which entry addresses a caller is told.
+// Package directory selects the entries that a caller should send its requests to.
 package directory
 
 import (
@@ -9,14 +9,14 @@
 )
 
 const (
-	// loadStep is the difference in requests in flight that counts: smaller
-	// ones are noise and would send all callers to the same entry.
+	// loadStep is the smallest difference in requests in flight that counts: smaller ones are
+	// noise and would send all callers to the same entry.
 	loadStep = 8
-	// maxAddresses bounds an answer; a caller needs a few to fail over.
+	// maxAddresses bounds the number of selected addresses; a caller needs a few for failover.
 	maxAddresses = 8
 )
 
-// Entry is an entry as it is known here.
+// Entry is an entry and its known state.
 type Entry struct {
 	Name       string
 	DataCentre string
@@ -27,45 +27,45 @@
 	Load int
 }
 
-// Select returns the addresses that a caller in a data centre should use, the
-// best first: entries that are alive and not stopping, those nearby before
-// others, the less loaded before the more loaded, and otherwise spread at
-// random. Suspected entries come only where no other is left: a caller that
-// finds nobody is worse off than one that tries. It is a pure function; random
-// returns a number from 0 to below n.
-func Select(hosts []Entry, dataCentre string, random func(n int) int) []string {
-	open := filter(hosts, schema.HostState_HOST_STATE_ALIVE)
-	if len(open) == 0 {
-		open = filter(hosts, schema.HostState_HOST_STATE_SUSPECT)
+// Select returns the addresses of the entries that a caller in a data centre should use, the
+// best first. It includes alive entries that are not stopping, orders local entries before
+// remote ones and less loaded before more loaded ones, and otherwise spreads callers at random.
+// Suspect entries are included only if there is no alive one, as a caller without any address
+// is worse off than one that tries a suspect entry. Select is a pure function; random returns a
+// number from 0 to below n.
+func Select(entries []Entry, dataCentre string, random func(n int) int) []string {
+	candidates := withState(entries, schema.HostState_HOST_STATE_ALIVE)
+	if len(candidates) == 0 {
+		candidates = withState(entries, schema.HostState_HOST_STATE_SUSPECT)
 	}
 	type ranked struct {
-		host Entry
-		far  int
-		turn int
+		entry  Entry
+		remote int
+		turn   int
 	}
-	list := make([]ranked, len(open))
-	for i, h := range open {
-		list[i] = ranked{host: h, turn: random(1 << 30)}
-		if h.DataCentre != dataCentre {
-			list[i].far = 1
+	list := make([]ranked, len(candidates))
+	for i, e := range candidates {
+		list[i] = ranked{entry: e, turn: random(1 << 30)}
+		if e.DataCentre != dataCentre {
+			list[i].remote = 1
 		}
 	}
 	slices.SortFunc(list, func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(a.far, b.far), cmp.Compare(a.host.Load/loadStep, b.host.Load/loadStep),
-			cmp.Compare(a.turn, b.turn), cmp.Compare(a.host.Name, b.host.Name))
+		return cmp.Or(cmp.Compare(a.remote, b.remote), cmp.Compare(a.entry.Load/loadStep, b.entry.Load/loadStep),
+			cmp.Compare(a.turn, b.turn), cmp.Compare(a.entry.Name, b.entry.Name))
 	})
 	var out []string
 	for _, r := range list[:min(len(list), maxAddresses)] {
-		out = append(out, r.host.Address)
+		out = append(out, r.entry.Address)
 	}
 	return out
 }
 
-func filter(hosts []Entry, state schema.HostState) []Entry {
+func withState(entries []Entry, state schema.HostState) []Entry {
 	var out []Entry
-	for _, h := range hosts {
-		if h.State == state && !h.Stopping {
-			out = append(out, h)
+	for _, e := range entries {
+		if e.State == state && !e.Stopping {
+			out = append(out, e)
 		}
 	}
 	return out
--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -1,6 +1,5 @@
-// Package refusal holds the final answers that are not an answer of a backend
-// server: each with a stable code, whether the request ran, and when to come
-// back.
+// Package refusal defines the final error responses that do not come from a backend server.
+// Each has a stable code, states whether the request ran, and may contain when to retry.
 package refusal
 
 import (
@@ -13,10 +12,10 @@
 
 //go:generate go tool stringer -type=Code,Outcome -linecomment
 
-// Code names a refusal; its string is part of the interface.
+// Code identifies the reason of a refusal; its string is part of the interface.
 type Code int
 
-// The codes, with their strings behind.
+// The codes, with their strings as line comments.
 const (
 	BadRequest      Code = iota // bad-request
 	BodyTooLarge                // body-too-large
@@ -42,17 +41,17 @@
 	HeldBack                    // held-back
 )
 
-// Outcome tells whether a request ran at a backend server.
+// Outcome is whether a request ran at a backend server.
 type Outcome int
 
-// The outcomes. NotRun is said only where it is proved.
+// The outcomes. NotRun is used only if it is proved that the request did not run.
 const (
 	NotRun  Outcome = iota // not-run
 	Ran                    // ran
 	Unknown                // unknown
 )
 
-// Refusal is a final answer to a caller. It is an error.
+// Refusal is a final error response to a caller. It implements error.
 type Refusal struct {
 	code       Code
 	outcome    Outcome
@@ -60,19 +59,21 @@
 	retryAfter time.Duration
 }
 
-// New returns a refusal of a request that did not run.
+// New returns a refusal of a request that did not run. The message is formatted as by
+// fmt.Sprintf.
 func New(code Code, format string, args ...any) *Refusal {
 	return &Refusal{code: code, outcome: NotRun, message: fmt.Sprintf(format, args...)}
 }
 
-// WithOutcome returns a copy that says whether the request ran.
+// WithOutcome returns a copy with the given outcome.
 func (r *Refusal) WithOutcome(o Outcome) *Refusal {
 	c := *r
 	c.outcome = o
 	return &c
 }
 
-// WithRetryAfter returns a copy that tells when to come back. Zero or less says nothing.
+// WithRetryAfter returns a copy with the time after which the caller should retry. Zero or less
+// stands for none.
 func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	c := *r
 	c.retryAfter = d
@@ -82,21 +83,22 @@
 // Code returns the stable code.
 func (r *Refusal) Code() Code { return r.code }
 
-// Outcome tells whether the request ran.
+// Outcome returns whether the request ran.
 func (r *Refusal) Outcome() Outcome { return r.outcome }
 
-// Message tells a person what happened and what can be done.
+// Message returns a description for people: what happened and what can be done.
 func (r *Refusal) Message() string { return r.message }
 
-// RetryAfter returns when to come back, or 0.
+// RetryAfter returns the time after which the caller should retry, or 0 for none.
 func (r *Refusal) RetryAfter() time.Duration { return max(r.retryAfter, 0) }
 
-// Error returns code, outcome and message.
+// Error returns the code, the outcome and the message.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("%s (%s): %s", r.code, r.outcome, r.message)
 }
 
-// ErrorReply returns the refusal of a request as callers and operators get it.
+// ErrorReply returns the message that callers and operators receive for the request with this
+// id.
 func (r *Refusal) ErrorReply(id string) *schema.ErrorReply {
 	return &schema.ErrorReply{Error: &schema.ErrorBody{
 		Code: r.code.String(), Message: r.message, Outcome: r.outcome.String(),
@@ -104,7 +106,7 @@
 	}}
 }
 
-// Status returns the HTTP status that goes with the code.
+// Status returns the HTTP status for the code.
 func (r *Refusal) Status() int {
 	switch r.code {
 	case BadRequest, KeyMissing:
