--- /dev/null
+++ b/internal/gateway/quarantine_test.go
@@ -0,0 +1,99 @@
+package gateway_test
+
+import (
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/go-logr/logr/funcr"
+	"github.com/stretchr/testify/require"
+
+	"fennelyard/internal/schema"
+)
+
+// A server process ends in the middle of a response. The log names the server, states that it
+// has ended and contains the request's key, so that retries of a request can be followed across
+// entries.
+func TestServerEndIsLogged(t *testing.T) {
+	lines := make(chan string, 16)
+	var server *backend
+	server = newBackend(t, func(net.Conn, *http.Request) { _ = server.l.Close() })
+	tg := newTestGatewayWithLog(t, funcr.New(func(prefix, args string) { lines <- prefix + " " + args }, funcr.Options{}), server)
+	require.Equal(t, 502, tg.call(t, "/once/x", "body", "").status)
+	for {
+		select {
+		case line := <-lines:
+			if strings.Contains(line, "attempts broke off") {
+				require.Contains(t, line, `"server"="s0"`)
+				require.Contains(t, line, `"answers"="refused" "ended"=true`)
+				return
+			}
+		case <-time.After(20 * time.Second):
+			require.FailNow(t, "the end of the server is not logged")
+		}
+	}
+}
+
+// A leaving server ends while it still has a request. Its end proves nothing about the request:
+// it is not investigated, and the request does not become suspect.
+func TestLeavingServerIsNotInvestigated(t *testing.T) {
+	lines := make(chan string, 64)
+	received, leave := make(chan struct{}), make(chan struct{})
+	var server *backend
+	server = newBackend(t, func(net.Conn, *http.Request) {
+		close(received)
+		<-leave
+		_ = server.l.Close()
+	})
+	tg := newTestGatewayWithLog(t, funcr.New(func(prefix, args string) { lines <- prefix + " " + args }, funcr.Options{}), server)
+	go func() {
+		<-received
+		tg.g.ApplyServers(false, &schema.RosterServer{
+			Id: "s0", Pool: "p", Address: server.l.Addr().String(), State: schema.RosterState_ROSTER_STATE_LEAVING,
+		})
+		close(leave)
+	}()
+	require.Equal(t, 502, tg.call(t, "/once/x", "body", "").status)
+	tg.g.Close()
+	close(lines)
+	for line := range lines {
+		require.NotContains(t, line, "attempts broke off")
+	}
+}
+
+// Three servers end while they run the same request at one entry. Its fourth attempt is
+// rejected at once as not run, with a Retry-After, and reaches no server. A request with
+// another body is served.
+func TestHarmfulRequestIsQuarantined(t *testing.T) {
+	var servers []*backend
+	for range 5 {
+		var server *backend
+		server = newBackend(t, func(conn net.Conn, request *http.Request) {
+			if request.ContentLength == 7 {
+				_ = server.l.Close()
+				return
+			}
+			respondOK(conn, request)
+		})
+		servers = append(servers, server)
+	}
+	tg := newTestGateway(t, servers...)
+	reached := func() (n int64) {
+		for _, server := range servers {
+			n += server.requests.Load()
+		}
+		return n
+	}
+	for want := 1; want <= 3; want++ {
+		require.Equal(t, 502, tg.call(t, "/once/x", "harmful", "").status)
+		require.Eventually(t, func() bool { return tg.g.MaxEndedServers() == want }, 20*time.Second, time.Millisecond)
+	}
+	before := reached()
+	got := tg.call(t, "/once/x", "harmful", "")
+	require.Equal(t, 503, got.status)
+	require.NotEmpty(t, got.retryAfter)
+	require.Equal(t, before, reached())
+	require.Equal(t, 200, tg.call(t, "/once/x", "other", "").status)
+}
