--- a/internal/loading/adapters.go
+++ b/internal/loading/adapters.go
@@ -6,155 +6,157 @@
 	"time"
 )
 
-// placeAdapters loads the adapters that callers wait for and that have a free place beside
-// their model, and returns the others. They go before models: an engine that has just
-// loaded a busy model would be given seconds of loading another one, and then the next,
-// while the callers of all its adapters are refused. An adapter takes milliseconds, and the
-// engine's places bound how often it goes first.
-func (p *plan) placeAdapters() (others []ModelRef) {
+// loadWaitingAdapters loads each adapter that requests wait for and that has a free slot at an
+// engine with its model, and returns the others. Adapters go before models: an engine that has
+// just loaded a busy model would otherwise spend seconds on the load of another one, and then
+// the next, while all requests for its adapters are refused. An adapter loads in milliseconds,
+// and the engine's adapter slots bound how often one goes first.
+func (p *plan) loadWaitingAdapters() (others []ModelRef) {
 	for _, d := range p.in.WaitingAdapters {
-		if !p.placeAdapter(d) {
+		if !p.loadWaitingAdapter(d) {
 			others = append(others, d)
 		}
 	}
 	return others
 }
 
-// placeAdapter loads an adapter at the engine with the most free places.
-func (p *plan) placeAdapter(d ModelRef) bool {
+// loadWaitingAdapter loads an adapter at the engine with the most free adapter slots. It
+// returns false if no engine has one.
+func (p *plan) loadWaitingAdapter(d ModelRef) bool {
 	var best *Engine
-	most := 0
-	for _, e := range p.free {
-		if n := p.freePlaces(e); n > most && holds(e, d.Model) {
-			best, most = e, n
+	mostFree := 0
+	for _, e := range p.available {
+		if n := p.freeAdapterSlots(e); n > mostFree && hasModel(e, d.Model) {
+			best, mostFree = e, n
 		}
 	}
 	if best == nil {
 		return false
 	}
-	p.take(best)
-	p.out = append(p.out, Action{Engine: best.ID, Load: true, Model: d.Model, Adapter: d.Adapter})
+	p.markBusy(best)
+	p.actions = append(p.actions, Action{Engine: best.ID, Load: true, Model: d.Model, Adapter: d.Adapter})
 	return true
 }
 
-// makePlace drops an idle adapter for one that callers wait for: the one that was not
-// asked for the longest, at the engine where adapters and what late orders may bring take
-// the fewest places. One with requests is never dropped: the engine takes no other order
-// until they have ended, and those that wait for other adapters there wait with it.
-func (p *plan) makePlace(d ModelRef) {
+// unloadIdleAdapter unloads the least recently used idle adapter to make room for one that
+// requests wait for, at the engine with the most free slots after late loads. An adapter with
+// requests is never unloaded: the engine takes no other order until they have ended, and
+// requests for its other adapters wait too.
+func (p *plan) unloadIdleAdapter(d ModelRef) {
 	var best *Engine
-	var victim heldAdapter
-	most := math.MinInt
-	for _, e := range p.free {
-		if !holds(e, d.Model) {
+	var victim adapterRef
+	mostFree := math.MinInt
+	for _, e := range p.available {
+		if !hasModel(e, d.Model) {
 			continue
 		}
-		if idle := oldestIdle(e); idle.adapter != "" && p.freePlaces(e) > most {
-			best, most, victim = e, p.freePlaces(e), idle
+		if idle := leastRecentlyUsed(e); idle.adapter != "" && p.freeAdapterSlots(e) > mostFree {
+			best, mostFree, victim = e, p.freeAdapterSlots(e), idle
 		}
 	}
 	if best == nil {
 		return
 	}
-	p.take(best)
-	p.out = append(p.out, Action{Engine: best.ID, Model: victim.model, Adapter: victim.adapter, RoomFor: d.Model})
+	p.markBusy(best)
+	p.actions = append(p.actions, Action{Engine: best.ID, Model: victim.model, Adapter: victim.adapter, RoomFor: d.Model})
 }
 
-// stockAdapters fills free places with adapters of busy models: first with those that
-// no engine holds, then with further copies of those that are asked for. They load in
-// milliseconds, but only while there is a leader that may give orders: their callers
-// would wait for seconds after a change of leader. And a model's new replica serves
-// none of its adapters' callers before it has them: with each adapter on one engine,
-// that engine had a hundred requests for 48 slots beside replicas that had ten.
-func (p *plan) stockAdapters() {
-	held := map[heldAdapter]int{}
+// preloadAdapters fills free slots with adapters of busy models: first those that no engine
+// has, then further copies of those with requests. An adapter loads in milliseconds, but only
+// while a leader can send orders: without a preload its requests wait for seconds after a
+// change of leader. A new replica of a model serves no adapter requests before it has the
+// adapters: with each adapter on one engine only, that engine had a hundred requests for 48
+// slots beside replicas that had ten.
+func (p *plan) preloadAdapters() {
+	copies := map[adapterRef]int{}
 	for _, e := range p.in.Engines {
-		for _, h := range e.Loaded {
-			for a := range h.Adapters {
-				held[heldAdapter{h.Model, a}]++
+		for _, l := range e.Loaded {
+			for a := range l.Adapters {
+				copies[adapterRef{l.Model, a}]++
 			}
 		}
 	}
-	for _, e := range slices.Clone(p.free) {
-		if p.freePlaces(e) <= 0 {
+	for _, e := range slices.Clone(p.available) {
+		if p.freeAdapterSlots(e) <= 0 {
 			continue
 		}
-		next := p.missing(e, held)
+		next := p.nextAdapter(e, copies)
 		if next.adapter == "" {
 			continue
 		}
-		held[next]++
-		p.take(e)
-		p.out = append(p.out, Action{Reason: ReasonStock, Engine: e.ID, Load: true, Model: next.model, Adapter: next.adapter})
+		copies[next]++
+		p.markBusy(e)
+		p.actions = append(p.actions, Action{Reason: ReasonStock, Engine: e.ID, Load: true, Model: next.model, Adapter: next.adapter})
 	}
 }
 
-// heldAdapter names an adapter of a model.
-type heldAdapter struct{ model, adapter string }
+// adapterRef names an adapter of a model.
+type adapterRef struct{ model, adapter string }
 
-// missing returns the adapter that an engine should hold next: one that no engine
-// holds of the busiest model, or else the one that it lacks with the most requests for
-// each copy.
-func (p *plan) missing(e *Engine, held map[heldAdapter]int) heldAdapter {
-	var unheld, further heldAdapter
-	rate, each := stockRate, copyRate
-	for _, h := range e.Loaded {
-		m := p.in.Models[h.Model]
+// nextAdapter returns the adapter to preload next at an engine: one of the busiest model that
+// no engine has, or else the one that this engine does not have with the highest request rate
+// per copy. copies counts the engines that have each adapter.
+func (p *plan) nextAdapter(e *Engine, copies map[adapterRef]int) adapterRef {
+	var unloaded, extraCopy adapterRef
+	rate, ratePerCopy := preloadMinRate, adapterCopyMinRate
+	for _, l := range e.Loaded {
+		m := p.in.Models[l.Model]
 		if m == nil {
 			continue
 		}
 		for _, a := range m.Adapters {
-			at := heldAdapter{h.Model, a}
-			if _, has := h.Adapters[a]; has {
+			at := adapterRef{l.Model, a}
+			if _, loaded := l.Adapters[a]; loaded {
 				continue
 			}
-			if n := held[at]; n == 0 && m.Rate >= rate && (unheld.model != h.Model) {
-				unheld, rate = at, m.Rate
-			} else if r := m.AdapterRate[a] / float64(n+1); n > 0 && r > each {
-				further, each = at, r
+			if n := copies[at]; n == 0 && m.Rate >= rate && (unloaded.model != l.Model) {
+				unloaded, rate = at, m.Rate
+			} else if r := m.AdapterRate[a] / float64(n+1); n > 0 && r > ratePerCopy {
+				extraCopy, ratePerCopy = at, r
 			}
 		}
 	}
-	if unheld.adapter != "" {
-		return unheld
+	if unloaded.adapter != "" {
+		return unloaded
 	}
-	return further
+	return extraCopy
 }
 
-// copyRate is from how many requests a second for each copy on an adapter is given
-// another one: of one that is asked for less often a single engine serves all.
-const copyRate = 0.1
+// adapterCopyMinRate is the request rate per copy, in 1/s, above which an adapter gets another
+// copy. One engine serves all requests of an adapter below it.
+const adapterCopyMinRate = 0.1
 
-// stockRate is from how many requests a second on a model's adapters are loaded
-// ahead: of a model that is asked for less often, most would never be used.
-const stockRate = 0.5
+// preloadMinRate is the request rate of a model, in 1/s, from which its adapters are preloaded.
+// Most adapters of a model with a lower rate would never be used.
+const preloadMinRate = 0.5
 
-func adapters(e *Engine) int {
+func adapterCount(e *Engine) int {
 	n := 0
-	for _, h := range e.Loaded {
-		n += len(h.Adapters)
+	for _, l := range e.Loaded {
+		n += len(l.Adapters)
 	}
 	return n
 }
 
-// oldestIdle returns the adapter without requests that was not asked for the longest.
-func oldestIdle(e *Engine) heldAdapter {
-	var out heldAdapter
+// leastRecentlyUsed returns the least recently used adapter of an engine that has no requests
+// and is not a late load, or the zero value.
+func leastRecentlyUsed(e *Engine) adapterRef {
+	var out adapterRef
 	var at time.Time
-	for _, h := range e.Loaded {
-		for a, last := range h.Adapters {
-			if h.AdapterInUse[a] || slices.Contains(e.LateLoads, ModelRef{Model: h.Model, Adapter: a}) {
+	for _, l := range e.Loaded {
+		for a, lastUsed := range l.Adapters {
+			if l.AdapterInUse[a] || slices.Contains(e.LateLoads, ModelRef{Model: l.Model, Adapter: a}) {
 				continue
 			}
-			this := heldAdapter{h.Model, a}
-			if out.adapter == "" || last.Before(at) || last.Equal(at) && this.less(out) {
-				out, at = this, last
+			ref := adapterRef{l.Model, a}
+			if out.adapter == "" || lastUsed.Before(at) || lastUsed.Equal(at) && ref.less(out) {
+				out, at = ref, lastUsed
 			}
 		}
 	}
 	return out
 }
 
-func (a heldAdapter) less(b heldAdapter) bool {
+func (a adapterRef) less(b adapterRef) bool {
 	return a.model < b.model || a.model == b.model && a.adapter < b.adapter
 }
--- a/internal/loading/demand.go
+++ b/internal/loading/demand.go
@@ -8,89 +8,89 @@
 )
 
 const (
-	// rateWindow is the time over which the rate of a model's requests is averaged:
-	// demand moves between models within some seconds, and a shorter window would
-	// take a pause of a rare model for its end.
+	// rateWindow is the averaging window of a model's request rate. Demand moves between models
+	// within seconds, but a shorter window would take a pause in the requests of a rare model
+	// for their end.
 	rateWindow = 8 * time.Second
-	// riseWindow is the window of a second average, which follows demand that
-	// rises: the difference of the two tells how fast.
+	// riseWindow is the window of a second average, which follows rising demand. The difference
+	// between the two averages gives the growth rate.
 	riseWindow = 2 * time.Second
-	// riseLeast is how many requests within riseWindow a rise is believed from. A
-	// rare model that is asked for once in ten seconds has three of them within two
-	// seconds about once in an hour.
-	riseLeast = 2.5
-	// riseSure is by how many standard deviations of the average over riseWindow
-	// the two averages must differ: without it the noise of even demand makes each
+	// riseMinRequests is the number of requests within riseWindow from which a rise is assumed.
+	// A rare model with one request in ten seconds has three of them within two seconds about
+	// once an hour.
+	riseMinRequests = 2.5
+	// riseMinDeviations is the number of standard deviations of the average over riseWindow by
+	// which the two averages must differ. Without it the noise of constant demand makes each
 	// busy model seem to rise half of the time.
-	riseSure = 2
-	// riseAhead is for how long demand that rises is taken to rise on: about half
-	// the time of a load from the weight store, as a rise ends at some point.
-	riseAhead = 3 * time.Second
+	riseMinDeviations = 2
+	// riseHorizon is how far rising demand is extrapolated: about half the time of a load from
+	// the weight store, as a rise ends at some point.
+	riseHorizon = 3 * time.Second
 )
 
-// target names a model, or an adapter of it.
+// target names a model or one of its adapters.
 type target struct {
 	pool    string
 	model   string
 	adapter string
 }
 
-// demand is what all entries were asked for of one target.
+// demand is the demand for one target, summed over all entries.
 type demand struct {
-	// rate and recent are averages over rateWindow and riseWindow, as of asked.
-	rate   float64
-	recent float64
-	asked  time.Time
-	// reading is the part of an engine's time that reading its prompts takes, an
-	// average as rate is.
-	reading float64
-	// running is how many requests are at engines at once, an average likewise.
-	running float64
-	// waiting holds the requests that wait now, by entry.
+	// rate and recent are averages over rateWindow and riseWindow, as of lastRequested.
+	rate          float64
+	recent        float64
+	lastRequested time.Time
+	// prefillLoad is the share of an engine's time that reading its prompts takes, averaged
+	// over rateWindow.
+	prefillLoad float64
+	// concurrency is the number of requests at engines, averaged over rateWindow.
+	concurrency float64
+	// waiting is the number of requests that wait now, by entry.
 	waiting map[string]int
 }
 
-// arrive notes requests, for how long engines read what was sent, and for how long
-// they had what ended.
-func (d *demand) arrive(n int, reading, ran time.Duration, now time.Time) {
-	d.running = d.average(d.running, rateWindow, now) + ran.Seconds()/rateWindow.Seconds()
-	d.reading = d.average(d.reading, rateWindow, now) + reading.Seconds()/rateWindow.Seconds()
-	d.rate = d.average(d.rate, rateWindow, now) + float64(n)/rateWindow.Seconds()
-	d.recent = d.average(d.recent, riseWindow, now) + float64(n)/riseWindow.Seconds()
-	d.asked = now
+// record adds n requests, the prefill time of the requests that were sent and the run time of
+// the requests that ended.
+func (d *demand) record(n int, prefill, runTime time.Duration, now time.Time) {
+	d.concurrency = d.decayed(d.concurrency, rateWindow, now) + runTime.Seconds()/rateWindow.Seconds()
+	d.prefillLoad = d.decayed(d.prefillLoad, rateWindow, now) + prefill.Seconds()/rateWindow.Seconds()
+	d.rate = d.decayed(d.rate, rateWindow, now) + float64(n)/rateWindow.Seconds()
+	d.recent = d.decayed(d.recent, riseWindow, now) + float64(n)/riseWindow.Seconds()
+	d.lastRequested = now
 }
 
-// average lets an average decay since the last arrival.
-func (d *demand) average(of float64, window time.Duration, now time.Time) float64 {
-	return of * math.Exp(-now.Sub(d.asked).Seconds()/window.Seconds())
+// decayed returns an average decayed since the last request.
+func (d *demand) decayed(of float64, window time.Duration, now time.Time) float64 {
+	return of * math.Exp(-now.Sub(d.lastRequested).Seconds()/window.Seconds())
 }
 
-// rateAt is the rate to be expected riseAhead from now. An average lags behind
-// demand that grows evenly by its window, so that the two averages differ by the
-// growth in the time between their windows. Without the forecast a model that
-// becomes busy within six seconds gets its second replica ten seconds after its
-// first callers, all of whom wait for one engine meanwhile.
-func (d *demand) rateAt(now time.Time) float64 {
-	rate, recent := d.average(d.rate, rateWindow, now), d.average(d.recent, riseWindow, now)
+// expectedRate returns the rate expected riseHorizon from now. An average lags behind linear
+// growth by its window, so the two averages differ by the growth during the difference of their
+// windows. Without the extrapolation a model that becomes busy within six seconds gets its
+// second replica ten seconds after its first requests, all of which queue at one engine
+// meanwhile.
+func (d *demand) expectedRate(now time.Time) float64 {
+	rate, recent := d.decayed(d.rate, rateWindow, now), d.decayed(d.recent, riseWindow, now)
 	deviation := math.Sqrt(rate / (2 * riseWindow.Seconds()))
-	if recent < rate+riseSure*deviation || recent*riseWindow.Seconds() < riseLeast {
+	if recent < rate+riseMinDeviations*deviation || recent*riseWindow.Seconds() < riseMinRequests {
 		return rate
 	}
 	growth := (recent - rate) / (rateWindow - riseWindow).Seconds()
-	return recent + growth*(riseWindow+riseAhead).Seconds()
+	return recent + growth*(riseWindow+riseHorizon).Seconds()
 }
 
-// times are how long an engine reads a prompt and how long it has a request, on
-// average; 0: nothing was sent yet.
-func (d *demand) times() (read, run time.Duration) {
+// meanTimes returns the mean prefill time and the mean run time of a request; 0 while no
+// request was sent.
+func (d *demand) meanTimes() (prefill, runTime time.Duration) {
 	if d.rate <= 0 {
 		return 0, 0
 	}
-	// All averages decay alike, so that their ratios stay.
-	return time.Duration(d.reading / d.rate * float64(time.Second)), time.Duration(d.running / d.rate * float64(time.Second))
+	// All averages decay alike, so their ratios are constant.
+	return time.Duration(d.prefillLoad / d.rate * float64(time.Second)), time.Duration(d.concurrency / d.rate * float64(time.Second))
 }
 
-func (d *demand) sum() int {
+func (d *demand) totalWaiting() int {
 	n := 0
 	for _, w := range d.waiting {
 		n += w
@@ -98,7 +98,7 @@
 	return n
 }
 
-// HandleDemand takes in what an entry was asked for since it last said so.
+// HandleDemand records an entry's demand since its previous report.
 func (d *Driver) HandleDemand(entry string, demands []*schema.ModelDemand) {
 	if len(demands) == 0 {
 		return
@@ -109,13 +109,13 @@
 	urgent := false
 	for _, x := range demands {
 		t := target{x.GetPool(), x.GetModel(), x.GetAdapter()}
-		if d.note(entry, t, x, now) {
+		if d.recordDemand(entry, t, x, now) {
 			urgent = true
 		}
 		if t.adapter != "" {
-			d.noteAdapter(t, x, now)
-			whole := &schema.ModelDemand{Arrived: x.GetArrived(), ReadUs: x.GetReadUs(), RanUs: x.GetRanUs()}
-			d.note(entry, target{t.pool, t.model, ""}, whole, now)
+			d.recordAdapterUse(t, x, now)
+			modelDemand := &schema.ModelDemand{Arrived: x.GetArrived(), ReadUs: x.GetReadUs(), RanUs: x.GetRanUs()}
+			d.recordDemand(entry, target{t.pool, t.model, ""}, modelDemand, now)
 		}
 	}
 	if urgent {
@@ -123,15 +123,15 @@
 	}
 }
 
-// note reports whether requests wait.
-func (d *Driver) note(entry string, t target, x *schema.ModelDemand, now time.Time) bool {
+// recordDemand records a demand of an entry. It reports whether requests wait.
+func (d *Driver) recordDemand(entry string, t target, x *schema.ModelDemand, now time.Time) bool {
 	m := d.demands[t]
 	if m == nil {
-		m = &demand{waiting: map[string]int{}, asked: now}
+		m = &demand{waiting: map[string]int{}, lastRequested: now}
 		d.demands[t] = m
 	}
 	if x.GetArrived() > 0 || x.GetReadUs() > 0 || x.GetRanUs() > 0 {
-		m.arrive(int(x.GetArrived()), time.Duration(x.GetReadUs())*time.Microsecond, time.Duration(x.GetRanUs())*time.Microsecond, now)
+		m.record(int(x.GetArrived()), time.Duration(x.GetReadUs())*time.Microsecond, time.Duration(x.GetRanUs())*time.Microsecond, now)
 	}
 	if x.GetModel() == "" {
 		return false
@@ -144,21 +144,21 @@
 	return true
 }
 
-// noteAdapter marks an adapter as used wherever it lies.
-func (d *Driver) noteAdapter(t target, x *schema.ModelDemand, now time.Time) {
+// recordAdapterUse sets the last use of an adapter at every engine that has it.
+func (d *Driver) recordAdapterUse(t target, x *schema.ModelDemand, now time.Time) {
 	if x.GetArrived() == 0 {
 		return
 	}
 	for _, e := range d.engines {
-		if h := e.held[t.model]; h != nil && e.pool == t.pool {
-			if _, ok := h.Adapters[t.adapter]; ok {
-				h.Adapters[t.adapter] = now
+		if l := e.loaded[t.model]; l != nil && e.pool == t.pool {
+			if _, ok := l.Adapters[t.adapter]; ok {
+				l.Adapters[t.adapter] = now
 			}
 		}
 	}
 }
 
-// RemoveEntry drops what an entry said that is gone.
+// RemoveEntry drops the waiting requests of an entry that is gone.
 func (d *Driver) RemoveEntry(entry string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -167,17 +167,17 @@
 	}
 }
 
-// forecastKeep is for how long a forecast is told again: entries look at theirs
-// every 50 ms, and each takes a look at every engine.
-const forecastKeep = 50 * time.Millisecond
+// forecastCacheTime is how long a forecast is reused: entries query theirs every 50 ms, and
+// computing one iterates over all engines.
+const forecastCacheTime = 50 * time.Millisecond
 
-// forecast is when a target was last expected to be ready.
+// forecast is a cached estimate of when a target is ready.
 type forecast struct {
-	at    time.Time
-	ready int64 // in ms from at; -1: nothing is on its way
+	at        time.Time
+	readyInMs int64 // in ms from at; -1: no load is expected
 }
 
-// Forecasts tells when the targets of some demands should be ready.
+// Forecasts returns the expected time until the target of each demand is ready.
 func (d *Driver) Forecasts(waiting []*schema.ModelDemand) []*schema.LoadForecast {
 	if len(waiting) == 0 {
 		return nil
@@ -189,93 +189,94 @@
 	for _, x := range waiting {
 		t := target{x.GetPool(), x.GetModel(), x.GetAdapter()}
 		f, ok := d.forecasts[t]
-		if !ok || now.Sub(f.at) > forecastKeep {
-			f = forecast{at: now, ready: d.readyAt(x, now)}
+		if !ok || now.Sub(f.at) > forecastCacheTime {
+			f = forecast{at: now, readyInMs: d.forecastMs(x, now)}
 			d.forecasts[t] = f
 		}
-		out = append(out, &schema.LoadForecast{Pool: t.pool, Model: t.model, Adapter: t.adapter, ReadyInMs: f.ready})
+		out = append(out, &schema.LoadForecast{Pool: t.pool, Model: t.model, Adapter: t.adapter, ReadyInMs: f.readyInMs})
 	}
 	return out
 }
 
-// readyAt tells in how many ms a target should be ready; -1: nothing is on its way.
-func (d *Driver) readyAt(x *schema.ModelDemand, now time.Time) int64 {
+// forecastMs returns the time in ms until a target is ready; -1: no load is expected.
+func (d *Driver) forecastMs(x *schema.ModelDemand, now time.Time) int64 {
 	ready := int64(-1)
 	for _, e := range d.engines {
-		// A new holder gives no orders for a while; loads under way go on.
-		idle := max(e.ordersFrom.Sub(now), 0)
-		if in, ok := d.readyIn(e, x, idle, now); ok && (ready < 0 || in.Milliseconds() < ready) {
+		// A new order holder sends no orders until then; loads in progress continue.
+		delay := max(e.ordersAllowedFrom.Sub(now), 0)
+		if in, ok := d.readyIn(e, x, delay, now); ok && (ready < 0 || in.Milliseconds() < ready) {
 			ready = in.Milliseconds()
 		}
 	}
-	if barred := d.barredFor(x.GetPool(), x.GetModel(), now); barred > 0 && !d.holdsModel(x.GetPool(), x.GetModel()) {
-		return barred.Milliseconds()
+	if suspended := d.suspendedFor(x.GetPool(), x.GetModel(), now); suspended > 0 && !d.isLoaded(x.GetPool(), x.GetModel()) {
+		return suspended.Milliseconds()
 	}
 	return ready
 }
 
-// holdsModel reports whether any engine of a pool holds a model.
-func (d *Driver) holdsModel(pool, model string) bool {
+// isLoaded reports whether any engine of a pool has a model loaded.
+func (d *Driver) isLoaded(pool, model string) bool {
 	for _, e := range d.engines {
-		if e.pool == pool && e.held[model] != nil {
+		if e.pool == pool && e.loaded[model] != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// readyIn tells when an engine should hold a model that its order under way
-// loads or makes room for.
-func (d *Driver) readyIn(e *engine, x *schema.ModelDemand, idle time.Duration, now time.Time) (time.Duration, bool) {
+// readyIn returns the time until an engine can serve a target, if it has the model, its order
+// in progress loads or makes room for it, or it has a copy to load from. delay is the time
+// until the engine can get its next order.
+func (d *Driver) readyIn(e *engine, x *schema.ModelDemand, delay time.Duration, now time.Time) (time.Duration, bool) {
 	if e.pool != x.GetPool() {
 		return 0, false
 	}
-	if h := e.held[x.GetModel()]; h != nil && e.unloading() != x.GetModel() {
-		if _, held := h.Adapters[x.GetAdapter()]; x.GetAdapter() != "" && !held {
-			idle = max(idle, d.busyFor(e, now))
+	if l := e.loaded[x.GetModel()]; l != nil && e.unloading() != x.GetModel() {
+		if _, loaded := l.Adapters[x.GetAdapter()]; x.GetAdapter() != "" && !loaded {
+			delay = max(delay, d.adapterDelay(e, now))
 		}
-		return idle + adapterLoad, true
+		return delay + adapterLoadTime, true
 	}
 	if e.phase <= phaseKnown || e.order.Adapter != "" {
-		return d.couldIn(e, x.GetModel(), idle)
+		return d.loadableIn(e, x.GetModel(), delay)
 	}
 	switch {
-	case e.order.Load && e.order.Model == x.GetModel() && idle > 0:
-		return idle + d.loadTime(e), true
+	case e.order.Load && e.order.Model == x.GetModel() && delay > 0:
+		return delay + d.loadTime(e), true
 	case e.order.Load && e.order.Model == x.GetModel():
-		return remaining(now.Sub(e.given), d.loadTime(e)), true
+		return remainingLoadTime(now.Sub(e.orderedAt), d.loadTime(e)), true
 	case !e.order.Load && e.order.RoomFor == x.GetModel():
-		return d.loadTimeOf(e, x.GetModel()) + dueSlack, true
+		return d.loadTimeOf(e, x.GetModel()) + completionGrace, true
 	}
 	return 0, false
 }
 
-// busyFor tells for how long the order under way should keep an engine from taking one for
-// an adapter. Without it callers of an adapter were told of milliseconds while the engine
-// loaded another model for seconds, and waited in vain.
-func (d *Driver) busyFor(e *engine, now time.Time) time.Duration {
+// adapterDelay returns how long the order in progress keeps an engine from loading an adapter.
+// A forecast without it promises milliseconds while the engine loads another model for seconds,
+// and requests wait in vain.
+func (d *Driver) adapterDelay(e *engine, now time.Time) time.Duration {
 	if e.phase <= phaseKnown || e.order.Adapter != "" || !e.order.Load {
 		return 0
 	}
-	return remaining(now.Sub(e.given), d.loadTime(e))
+	return remainingLoadTime(now.Sub(e.orderedAt), d.loadTime(e))
 }
 
-// remaining tells how much longer a load should take. One that is overdue is
-// expected to take as long again: the weight store is slow by an unknown factor,
-// and callers who are told that it is nearly done wait until their time is over.
-func remaining(gone, takes time.Duration) time.Duration {
-	if gone > takes {
-		return gone
+// remainingLoadTime returns the expected rest of a load. An overdue load is expected to take as
+// long again: the weight store is slow by an unknown factor, and requests with a short forecast
+// would wait until their deadline.
+func remainingLoadTime(elapsed, total time.Duration) time.Duration {
+	if elapsed > total {
+		return elapsed
 	}
-	return max(takes-gone, adapterLoad)
+	return max(total-elapsed, adapterLoadTime)
 }
 
-// couldIn tells when an engine without an order could hold a model of which it
-// has a copy. Callers of a rare model are kept through a change of leader by it
-// where their time allows, instead of being refused for want of a forecast.
-func (d *Driver) couldIn(e *engine, model string, idle time.Duration) (time.Duration, bool) {
+// loadableIn returns the time until an engine without an order can have a model of which it has
+// a copy. With this forecast requests for a rare model survive a change of leader if their
+// deadline allows, instead of being refused for want of a forecast.
+func (d *Driver) loadableIn(e *engine, model string, delay time.Duration) (time.Duration, bool) {
 	if !e.inMemory[model] && !e.onDisk[model] {
 		return 0, false
 	}
-	return idle + d.loadTimeOf(e, model) + dueSlack, true
+	return delay + d.loadTimeOf(e, model) + completionGrace, true
 }
--- a/internal/loading/driver.go
+++ b/internal/loading/driver.go
@@ -14,69 +14,67 @@
 )
 
 const (
-	// tick is how often the driver looks at its engines when nothing wakes it.
-	tick = 100 * time.Millisecond
-	// roundGap is the time between two rounds for each engine, and so bounds what
-	// rounds cost however many words come in.
-	roundGap = 500 * time.Microsecond
-	// confirmFor is how long a holder relies on the leader's word who leads and who
-	// holds an engine's orders. A host that was frozen in between gives its order
-	// within a moment of its thaw, and engines are promised no order of an old holder
-	// after that. One word serves the orders of a burst.
-	confirmFor = 250 * time.Millisecond
-	// confirmWait is how long the leader's word is waited for. A leader with a fleet's
-	// burst before it takes some hundred milliseconds for it; orders that do not wait for it
-	// are given again, and are more work for it than those that leave.
-	confirmWait = 400 * time.Millisecond
-	// LeadershipProofMaxAge is how old a quorum's word may be with which a leader answers a
-	// holder: a round of the group for each order would cost a leader of a large
-	// fleet more than all else that it does.
+	// roundInterval is the time between rounds if nothing wakes the driver.
+	roundInterval = 100 * time.Millisecond
+	// roundPausePerEngine is the pause after a round for each engine. It bounds the cost of
+	// rounds, however many announcements and reports arrive.
+	roundPausePerEngine = 500 * time.Microsecond
+	// confirmationMaxAge is how long an order holder relies on the leader's confirmation of the
+	// current term and holder. A host that was frozen in between sends its order within a moment
+	// of its resumption, and engines rely on getting no order of an old holder after that. One
+	// confirmation serves a burst of orders.
+	confirmationMaxAge = 250 * time.Millisecond
+	// confirmationTimeout is how long to wait for the leader's confirmation. It takes a leader
+	// with a burst of orders for a whole fleet some hundred milliseconds; orders whose
+	// confirmation timed out are sent again, and cost it more work than those that go through.
+	confirmationTimeout = 400 * time.Millisecond
+	// LeadershipProofMaxAge is the maximal age of the quorum's confirmation of a leader with
+	// which it answers an order holder. A round of the group for each order would cost the
+	// leader of a large fleet more than all its other work.
 	LeadershipProofMaxAge = 150 * time.Millisecond
-	// leaseMargin is added to the pause between two holders' orders. An order of the old
-	// holder arrives within LeadFor and the longer of confirmWait and confirmFor, for which
-	// what it knew was true, and orderWait, after which its connection is reset; the rest is
-	// for the way in between.
-	leaseMargin = LeadershipProofMaxAge + max(confirmWait, confirmFor) + orderWait + 50*time.Millisecond
-	// holderPatience and holderTries are for how long, and how often, an engine's
-	// order holder may fail to send its orders before another host takes them over:
-	// a host restarts within a second. enginePatience and engineTries are the same
-	// for an engine that does not answer its holder: most often it is the engine
-	// that is gone, or that answers late, and another holder costs a lease.
-	holderPatience = time.Second
-	holderTries    = 2
-	enginePatience = 4 * time.Second
-	engineTries    = 6
-	// adapterLoad is how long an adapter takes that the engine fetches; requests
-	// that come sooner are refused as not run and sent again.
-	adapterLoad = 15 * time.Millisecond
-	// dueSlack is how long after its expected end a load is asked about, and
-	// then again and again.
-	dueSlack  = 250 * time.Millisecond
-	againSoon = 300 * time.Millisecond
-	// triesSoon is how many times an order without an answer is given again that soon;
-	// each two tries more double the time, to four times as long. While engines were cut
-	// off from their holders by the dozen, the same orders again were 150 calls a second
-	// of a leader that then lost its lead.
-	triesSoon     = 3
-	againLongest  = 4 * againSoon
-	triesToDouble = 2
-	// asksAtOnce is how many engines are asked for a report at a time. A leader that has
-	// just begun asks all of them, and its host of a quarter of a core must say in between
-	// that it leads: with 240 asked at once leaders lost their lead over it, and the next
-	// one asked all again, nine times in fourteen seconds.
-	// askPace is how long each of them counts as asked: 80 reports a second cost such a host
-	// 0.05 of a core, and a fleet of 24 engines is asked at once.
-	asksAtOnce = 24
-	askPace    = 300 * time.Millisecond
-	// beatLag is for how long after an order announcements are not compared with what is
-	// believed: most are less old than that when they come.
-	beatLag = 1500 * time.Millisecond
-	// firstTerm is the term of a group's first leader: nobody can have given orders
-	// before it.
+	// leaseMargin is added to the pause between the orders of two holders. An order of the old
+	// holder arrives within LeadershipProofMaxAge, the longer of confirmationTimeout and
+	// confirmationMaxAge, during which its confirmation was valid, and orderTimeout, after
+	// which its connection is reset; the rest is for the network delay in between.
+	leaseMargin = LeadershipProofMaxAge + max(confirmationTimeout, confirmationMaxAge) + orderTimeout + 50*time.Millisecond
+	// An order holder is replaced after it has failed to send orders holderFailureTries times
+	// over holderFailureTimeout: a host restarts within a second. The limits for an engine that
+	// does not reply to its holder are longer: most often the engine is gone or slow, and
+	// another holder costs a lease.
+	holderFailureTimeout = time.Second
+	holderFailureTries   = 2
+	engineFailureTimeout = 4 * time.Second
+	engineFailureTries   = 6
+	// adapterLoadTime is how long an engine takes to fetch an adapter. Earlier requests are
+	// refused as not run and sent again.
+	adapterLoadTime = 15 * time.Millisecond
+	// completionGrace is how long after the expected end of a load the engine is queried for a
+	// report. Queries are repeated, as orders are, after retryDelay.
+	completionGrace = 250 * time.Millisecond
+	retryDelay      = 300 * time.Millisecond
+	// An order without a reply is sent again after retryDelay triesBeforeBackoff times. Each
+	// triesPerDoubling further tries double the delay, up to maxRetryDelay. Without the
+	// backoff, when dozens of engines were cut off from their holders, repeated orders cost a
+	// leader 150 calls per second, and it lost its leadership.
+	triesBeforeBackoff = 3
+	maxRetryDelay      = 4 * retryDelay
+	triesPerDoubling   = 2
+	// maxConcurrentQueries is how many engines are queried for a report at a time. A new leader
+	// queries all engines, and its host with a quarter of a core must send heartbeats in
+	// between: with 240 concurrent queries leaders lost their leadership, and the next one
+	// queried all engines again, nine times in fourteen seconds.
+	// querySlotTime is how long a query occupies its slot at least: 80 reports per second cost
+	// such a host 0.05 of a core, and a fleet of 24 engines is queried at once.
+	maxConcurrentQueries = 24
+	querySlotTime        = 300 * time.Millisecond
+	// announcementMaxLag is how long after an order announcements are not compared with the
+	// known state: most are less old than that when they arrive.
+	announcementMaxLag = 1500 * time.Millisecond
+	// firstTerm is the term of a group's first leader: no earlier leader can have sent orders.
 	firstTerm = 1
-	// forgetHolders is after how long the holders of engines that nobody has heard
-	// of are dropped from the log.
-	forgetHolders = 5 * time.Minute
+	// holderRetention is how long a leader keeps the recorded order holders of engines that
+	// have not announced themselves.
+	holderRetention = 5 * time.Minute
 )
 
 // Leadership is whether this host leads, and in which term.
@@ -85,79 +83,81 @@
 	Term     uint64
 }
 
-// Config configures a Driver. All fields are required.
+// Config configures a Driver. All fields are required but ObserveOrder.
 type Config struct {
 	Leadership func() Leadership
 	Holders    Holders
-	// FetchReport asks an engine for a report.
+	// FetchReport queries an engine for a report.
 	FetchReport func(ctx context.Context, address, server string) (Report, error)
 	Roster      *roster.Roster
 	// KnownServers returns the servers that earlier leaders recorded.
 	KnownServers func() []*schema.KnownServer
-	// Pools returns the pools in force.
+	// Pools returns the pools of the active configuration.
 	Pools func() []*schema.Pool
-	// OrderLease is the time between the last order of one holder of an engine's
-	// orders and the first of the next.
+	// OrderLease is the time between the last order of one order holder of an engine and the
+	// first order of the next.
 	OrderLease time.Duration
-	// LoadWindow is the time over which loads from the weight store are counted.
+	// LoadWindow is the window of the rate limit on loads from the weight store.
 	LoadWindow time.Duration
 	Now        func() time.Time
 	Log        logr.Logger
-	// ObserveOrder, where set, counts answered orders.
+	// ObserveOrder, if set, is called for each reply to an order.
 	ObserveOrder func(o Outcome, load, adapter bool)
 }
 
-// Driver gives the leader's orders. All methods are safe from any goroutine.
+// Driver sends the leader's orders. All methods are safe from any goroutine.
 type Driver struct {
-	cfg  Config
-	kick chan struct{}
-	stop chan struct{}
-	done chan struct{}
-	once sync.Once
-	wg   sync.WaitGroup
+	cfg      Config
+	wakeup   chan struct{}
+	stop     chan struct{}
+	done     chan struct{}
+	stopOnce sync.Once
+	wg       sync.WaitGroup
 
 	mu sync.Mutex
-	// term and since tell since when this host has led without a break; guarded
-	// by mu, as all below.
-	term    uint64
-	since   time.Time
-	leads   bool
-	token   uint64
-	engines map[string]*engine
-	// starts counts them by the server's id.
-	starts map[string]int
-	// late are the loads that may be carried out by the next start of a server that is
-	// gone.
-	late map[string][]sentLoad
-	// leases is when the present holder of a server's orders may begin, where this
-	// leader has replaced the one before; engines come and go with their starts.
-	leases  map[string]time.Time
-	demands map[target]*demand
-	// endings are by model, of models under whose loads engines ended.
-	endings map[target]*endings
-	// begun holds when each load from the store may have begun, by pool.
-	begun map[string][]time.Time
-	// stores is what was learned of each pool's weight store.
+	// term and leaderSince are the term of this host's leadership and when it began; guarded by
+	// mu, as all below.
+	term        uint64
+	leaderSince time.Time
+	isLeader    bool
+	orderCount  uint64
+	engines     map[string]*engine
+	// incarnationCounts is the number of known incarnations by the server's id.
+	incarnationCounts map[string]int
+	// lateLoads are the loads that the next incarnation of a server that is gone may execute,
+	// by the server's id.
+	lateLoads map[string][]sentLoad
+	// ordersAllowedFrom is when the current order holder of a server may send its first order,
+	// if this leader replaced the previous one. It outlives the server's incarnations.
+	ordersAllowedFrom map[string]time.Time
+	demands           map[target]*demand
+	// crashes counts the engines that crashed under loads of a model, by model.
+	crashes map[target]*loadCrashes
+	// storeLoadStarts are the times at which loads from the store may have begun, by pool.
+	storeLoadStarts map[string][]time.Time
+	// stores are the estimates of the weight stores, by pool.
 	stores map[string]*store
-	// pools are the engine pools in force, by name, as of the last round.
+	// pools are the engine pools of the active configuration by name, as of the last round.
 	pools map[string]*pool
-	// forecasts are kept for a moment, as many entries ask for the same.
+	// forecasts are cached briefly, as many entries query the same ones.
 	forecasts map[target]forecast
-	// told is when a model was last logged as blocked.
-	told map[string]time.Time
-	// asking holds a token for each report that is asked for.
-	asking chan struct{}
-	// assigning is set while holders are being recorded.
-	assigning bool
+	// blockedLoggedAt is when a model was last logged as blocked.
+	blockedLoggedAt map[string]time.Time
+	// querySlots has a token for each query for a report in progress.
+	querySlots chan struct{}
+	// recordingHolders is set while order holders are being recorded.
+	recordingHolders bool
 }
 
-// NewDriver starts a driver. It gives no order until this host leads.
+// NewDriver starts a driver. It sends no orders until this host leads.
 func NewDriver(cfg Config) *Driver {
 	d := &Driver{
-		cfg: cfg, kick: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{}),
-		engines: map[string]*engine{}, starts: map[string]int{}, late: map[string][]sentLoad{}, leases: map[string]time.Time{}, demands: map[target]*demand{},
-		endings: map[target]*endings{}, begun: map[string][]time.Time{}, stores: map[string]*store{},
-		told: map[string]time.Time{}, forecasts: map[target]forecast{}, asking: make(chan struct{}, asksAtOnce),
+		cfg: cfg, wakeup: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{}),
+		engines: map[string]*engine{}, incarnationCounts: map[string]int{}, lateLoads: map[string][]sentLoad{},
+		ordersAllowedFrom: map[string]time.Time{}, demands: map[target]*demand{},
+		crashes: map[target]*loadCrashes{}, storeLoadStarts: map[string][]time.Time{}, stores: map[string]*store{},
+		blockedLoggedAt: map[string]time.Time{}, forecasts: map[target]forecast{},
+		querySlots: make(chan struct{}, maxConcurrentQueries),
 	}
 	go func() {
 		defer close(d.done)
@@ -167,33 +167,33 @@
 	return d
 }
 
-// Stop ends the driver; orders under way are waited for.
+// Stop stops the driver and waits for orders being sent.
 func (d *Driver) Stop() {
-	d.once.Do(func() { close(d.stop) })
+	d.stopOnce.Do(func() { close(d.stop) })
 	<-d.done
 }
 
-// Done is closed when the driver has stopped.
+// Done returns a channel that is closed when the driver has stopped.
 func (d *Driver) Done() <-chan struct{} { return d.done }
 
 func (d *Driver) wake() {
 	select {
-	case d.kick <- struct{}{}:
+	case d.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 func (d *Driver) run() {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(roundInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-d.stop:
 			return
 		case <-ticker.C:
-		case <-d.kick:
+		case <-d.wakeup:
 		}
-		pause := time.Duration(d.round()) * roundGap
+		pause := time.Duration(d.runRound()) * roundPausePerEngine
 		select {
 		case <-d.stop:
 			return
@@ -202,40 +202,42 @@
 	}
 }
 
-// HandleAnnouncement takes an engine's announcement in.
+// HandleAnnouncement applies an engine's announcement.
 func (d *Driver) HandleAnnouncement(a roster.Announcement) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.cfg.Now()
-	said := a.ReceivedAt(now)
+	receivedAt := a.ReceivedAt(now)
 	e := d.engines[a.ID]
 	if e == nil {
 		e = newEngine(a.ID, a.Pool)
-		d.add(e, now)
+		d.addEngine(e, now)
 	}
 	e.address, e.slots = a.Address, a.Slots
 	e.inMemory, e.onDisk = setOf(a.InMemory), setOf(a.OnDisk)
 	switch e.phase {
 	case phaseUnknown:
-		e.learn(a.Loaded, now)
+		e.setLoaded(a.Loaded, now)
 	case phaseKnown:
-		// Nobody knows how old an announcement is that a cut held up, nor after how many
-		// orders it was said. An order by the count that a report told and by models and
-		// adapters that an older word told is not refused, and ends an engine that has no
-		// room for what it brings. A report tells both as of one moment.
-		if said.Sub(e.touched) > beatLag && !e.holdsJust(a.Loaded) {
-			d.cfg.Log.Info("engine announces other models", "server", e.id, "sequence", a.Sequence, "announced", heldNames(a.Loaded), "believed", heldNames(e.views()))
+		// The age of an announcement that was delayed by a partition is unknown, and so is the
+		// number of orders taken before it. An order with the number from a report but for the
+		// models and adapters of an older announcement is not refused, and crashes an engine
+		// without room for its load. A report has both as of one moment.
+		if receivedAt.Sub(e.changedAt) > announcementMaxLag && !e.loadedMatches(a.Loaded) {
+			d.cfg.Log.Info("engine announces other models", "server", e.id, "sequence", a.Sequence,
+				"announced", modelNames(a.Loaded), "believed", modelNames(e.routableModels()))
 			e.phase = phaseUnknown
 		}
-	case phaseWorking:
-		// A word that a control host heard before the order shows what was before it.
-		if said.After(e.given) && d.seenDone(e, a.Loaded) {
-			d.finish(e, now)
+	case phaseExecuting:
+		// An announcement that a control host received before the order shows the state before
+		// it.
+		if receivedAt.After(e.orderedAt) && d.showsOrderDone(e, a.Loaded) {
+			d.finishOrder(e, now)
 		}
-	case phaseGiving, phaseUncertain:
+	case phaseSending, phaseUnconfirmed:
 	}
 	if e.holder.Host == "" {
-		d.recall(e)
+		d.loadHolder(e)
 	}
 	d.publish(e)
 	d.wake()
@@ -249,156 +251,158 @@
 	return out
 }
 
-// seenDone reports whether an engine's word shows that the order under way was
-// carried out. A word older than the order shows the opposite, so that only
-// what the order brings about is believed.
-func (d *Driver) seenDone(e *engine, held []*schema.HeldModel) bool {
+// showsOrderDone reports whether the loaded models of an announcement or report show that the
+// order in progress was executed. A state from before the order differs from its result, so
+// only the result counts.
+func (d *Driver) showsOrderDone(e *engine, loaded []*schema.HeldModel) bool {
 	if e.order.Adapter != "" {
 		return false
 	}
-	has := slices.ContainsFunc(held, func(h *schema.HeldModel) bool { return h.GetName() == e.order.Model })
+	has := slices.ContainsFunc(loaded, func(m *schema.HeldModel) bool { return m.GetName() == e.order.Model })
 	return has == e.order.Load
 }
 
-func (d *Driver) finish(e *engine, now time.Time) {
+func (d *Driver) finishOrder(e *engine, now time.Time) {
 	d.cfg.Log.Info("order done", "server", e.id, "load", e.order.Load, "model", e.order.Model, "adapter", e.order.Adapter,
-		"took-ms", now.Sub(e.given).Milliseconds(), "taken", e.taken)
+		"took-ms", now.Sub(e.orderedAt).Milliseconds(), "taken", e.ordersTaken)
 	if e.order.Load && e.order.FromStore {
-		st := d.storeOf(e.pool)
-		st.ended(e.atOnce, now.Sub(e.given), d.fromStore(e))
-		d.cfg.Log.Info("store learned", "pool", e.pool, "at-once", e.atOnce, "took-ms", now.Sub(e.given).Milliseconds(), "loads", st.atOnce())
+		st := d.poolStore(e.pool)
+		st.recordLoad(e.storeConcurrency, now.Sub(e.orderedAt), d.storeLoadTime(e))
+		d.cfg.Log.Info("store learned", "pool", e.pool, "at-once", e.storeConcurrency,
+			"took-ms", now.Sub(e.orderedAt).Milliseconds(), "loads", st.concurrency())
 	}
 	if e.order.Load && e.order.Adapter == "" {
-		delete(d.endings, target{e.pool, e.order.Model, ""})
+		delete(d.crashes, target{e.pool, e.order.Model, ""})
 	}
-	e.done(now)
+	e.applyOrder(now)
 }
 
-// publish tells the entries what an engine holds. Until the first report it is
-// what the engine said itself.
-func (d *Driver) publish(e *engine) { d.cfg.Roster.SetModels(e.id, e.views()) }
+// publish sets the models of an engine that entries may use. Until the first report they are
+// those of its announcement.
+func (d *Driver) publish(e *engine) { d.cfg.Roster.SetModels(e.id, e.routableModels()) }
 
-// round does what is due, and returns the number of engines.
-func (d *Driver) round() int {
+// runRound does what is due, and returns the number of engines.
+func (d *Driver) runRound() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.cfg.Now()
-	d.follow(now)
-	d.pools = poolsOf(d.cfg.Pools(), d.pools)
+	d.refreshLeadership(now)
+	d.pools = updatePools(d.cfg.Pools(), d.pools)
 	for id, e := range d.engines {
 		if !d.cfg.Roster.Ready(id) {
-			if e.phase != phaseGiving {
-				d.ended(e, now)
-				d.keepLate(e, now)
-				d.remove(e)
+			if e.phase != phaseSending {
+				d.recordCrash(e, now)
+				d.retainLateLoads(e, now)
+				d.removeEngine(e)
 			}
 			continue
 		}
-		d.tend(e, now)
+		d.advance(e, now)
 	}
-	if !d.leads {
+	if !d.isLeader {
 		return len(d.engines)
 	}
-	d.assign(now)
+	d.assignHolders(now)
 	for _, p := range d.pools {
-		actions, blocked := Decide(d.input(p, now))
+		actions, blocked := Decide(d.decisionInput(p, now))
 		for _, a := range actions {
-			d.begin(d.engines[a.Engine], a, now)
+			d.startOrder(d.engines[a.Engine], a, now)
 		}
 		d.logBlocked(blocked, now)
 	}
 	return len(d.engines)
 }
 
-// blockedEvery is how often a model is logged that lacks a replica: in a burst of rare
-// models a hundred do, for as long as the store is paced.
-const blockedEvery = 3 * time.Second
+// blockedLogInterval is the least time between two log lines on a blocked model: in a burst of
+// rare models a hundred are blocked for as long as the store's rate limit lasts.
+const blockedLogInterval = 3 * time.Second
 
-// logBlocked logs models that lack a replica.
+// logBlocked logs the models that need a replica and can't be loaded.
 func (d *Driver) logBlocked(blocked []Blocked, now time.Time) {
 	for _, b := range blocked {
-		if now.Sub(d.told[b.Model]) < blockedEvery {
+		if now.Sub(d.blockedLoggedAt[b.Model]) < blockedLogInterval {
 			continue
 		}
-		d.told[b.Model] = now
+		d.blockedLoggedAt[b.Model] = now
 		d.cfg.Log.Info("load blocked", "model", b.Model, "rate", b.Rate, "engines-busy", b.Busy, "engines-holding", b.Loaded,
 			"engines-full", b.Full, "engines-store-paced", b.StoreLimited)
 	}
 }
 
-// RefreshLeadership notes at once whether this host leads; what it hears from then on
-// belongs to the present leadership.
+// RefreshLeadership determines at once whether this host leads; announcements and reports
+// received from then on belong to the current leadership.
 func (d *Driver) RefreshLeadership() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.follow(d.cfg.Now())
+	d.refreshLeadership(d.cfg.Now())
 }
 
-// follow notes whether this host leads. What an earlier leadership knew of the
-// engines is worth nothing after another host may have given orders.
-func (d *Driver) follow(now time.Time) {
+// refreshLeadership determines whether this host leads. A new leadership drops the known state
+// of the engines: another host may have sent orders in between.
+func (d *Driver) refreshLeadership(now time.Time) {
 	l := d.cfg.Leadership()
-	if l.IsLeader == d.leads && l.Term == d.term {
+	if l.IsLeader == d.isLeader && l.Term == d.term {
 		return
 	}
-	led, term := d.leads, d.term
-	d.leads, d.term = l.IsLeader, l.Term
+	wasLeader, term := d.isLeader, d.term
+	d.isLeader, d.term = l.IsLeader, l.Term
 	if l.IsLeader {
-		d.since, d.token = now, 0
+		d.leaderSince, d.orderCount = now, 0
 		if l.Term == firstTerm {
-			d.since = now.Add(-d.cfg.LoadWindow)
+			d.leaderSince = now.Add(-d.cfg.LoadWindow)
 		}
 		d.cfg.Roster.Reset()
-		d.engines, d.starts = map[string]*engine{}, map[string]int{}
-		d.leases = map[string]time.Time{}
+		d.engines, d.incarnationCounts = map[string]*engine{}, map[string]int{}
+		d.ordersAllowedFrom = map[string]time.Time{}
 		d.demands = map[target]*demand{}
-		d.endings = map[target]*endings{}
-		d.begun = map[string][]time.Time{}
+		d.crashes = map[target]*loadCrashes{}
+		d.storeLoadStarts = map[string][]time.Time{}
 		d.cfg.Log.Info("leading", "term", l.Term)
-		d.recallServers(now)
-	} else if led {
+		d.restoreServers(now)
+	} else if wasLeader {
 		d.cfg.Log.Info("no longer leading", "term", term)
 	}
 }
 
-// tend asks about an engine where its state is not known or an end is overdue.
-func (d *Driver) tend(e *engine, now time.Time) {
-	if !d.leads || now.Before(e.notBefore) || d.pools[e.pool] == nil {
+// advance queries an engine whose state is unknown or whose order is overdue, and repeats an
+// unconfirmed order.
+func (d *Driver) advance(e *engine, now time.Time) {
+	if !d.isLeader || now.Before(e.notBefore) || d.pools[e.pool] == nil {
 		return
 	}
 	switch e.phase {
 	case phaseUnknown:
-		d.ask(e, now)
-	case phaseWorking:
-		if now.Before(e.due) {
+		d.requestReport(e, now)
+	case phaseExecuting:
+		if now.Before(e.dueAt) {
 			return
 		}
 		if e.order.Adapter != "" {
-			d.finish(e, now)
+			d.finishOrder(e, now)
 			d.publish(e)
 			return
 		}
-		d.ask(e, now)
-	case phaseUncertain:
-		if now.Before(e.ordersFrom) {
+		d.requestReport(e, now)
+	case phaseUnconfirmed:
+		if now.Before(e.ordersAllowedFrom) {
 			return
 		}
-		e.notBefore = now.Add(againAfter(e.tries))
-		d.give(e, now)
-	case phaseKnown, phaseGiving:
+		e.notBefore = now.Add(retryDelayAfter(e.tries))
+		d.sendOrder(e, now)
+	case phaseKnown, phaseSending:
 	}
 }
 
-func (d *Driver) input(p *pool, now time.Time) Input {
+func (d *Driver) decisionInput(p *pool, now time.Time) Input {
 	in := Input{
 		Now: now, MemoryMB: p.spec.GetMemoryMb(), AdapterSlots: int(p.spec.GetAdapterPlaces()), Models: map[string]*Model{},
 	}
-	for name, known := range p.models {
-		m := *known
-		m.Suspended = d.barredFor(p.name, name, now) > 0
+	for name, configured := range p.models {
+		m := *configured
+		m.Suspended = d.suspendedFor(p.name, name, now) > 0
 		if x := d.demands[target{p.name, name, ""}]; x != nil {
-			m.Rate, m.LastRequested, m.Waiting = x.rateAt(now), x.asked, x.sum()
-			m.PrefillTime, m.RequestTime = x.times()
+			m.Rate, m.LastRequested, m.Waiting = x.expectedRate(now), x.lastRequested, x.totalWaiting()
+			m.PrefillTime, m.RequestTime = x.meanTimes()
 		}
 		in.Models[name] = &m
 	}
@@ -410,12 +414,12 @@
 		if m.AdapterRate == nil {
 			m.AdapterRate = map[string]float64{}
 		}
-		m.AdapterRate[t.adapter] = x.average(x.rate, rateWindow, now)
-		if x.sum() == 0 {
+		m.AdapterRate[t.adapter] = x.decayed(x.rate, rateWindow, now)
+		if x.totalWaiting() == 0 {
 			continue
 		}
-		m.Waiting += x.sum()
-		if !d.heldOrComing(t) {
+		m.Waiting += x.totalWaiting()
+		if !d.isLoadedOrIncoming(t) {
 			in.WaitingAdapters = append(in.WaitingAdapters, ModelRef{Model: t.model, Adapter: t.adapter})
 		}
 	}
@@ -427,24 +431,24 @@
 			continue
 		}
 		v := e.view(d.cfg.Roster.HasRequests)
-		v.RoomMadeFor, v.LateLoads = e.clearedFor(now), e.lateLoads(now)
-		if now.Before(e.notBefore) || e.holder.Host == "" || now.Before(e.ordersFrom) || now.Before(e.unheard) {
+		v.RoomMadeFor, v.LateLoads = e.recentRoomFor(now), e.lateModels(now)
+		if now.Before(e.notBefore) || e.holder.Host == "" || now.Before(e.ordersAllowedFrom) || now.Before(e.earlierOrdersUntil) {
 			v.Busy = true
 		}
 		if v.FromStore {
 			in.StoreLoadsRunning++
-			d.storeOf(p.name).running(e.atOnce, now.Sub(e.given), d.fromStore(e))
+			d.poolStore(p.name).recordProgress(e.storeConcurrency, now.Sub(e.orderedAt), d.storeLoadTime(e))
 		}
 		in.Slots = max(in.Slots, e.slots)
 		in.Engines = append(in.Engines, v)
 	}
 	slices.SortFunc(in.Engines, func(a, b *Engine) int { return cmp.Compare(a.ID, b.ID) })
-	in.StoreConcurrency = d.storeOf(p.name).atOnce()
-	in.StoreLoadsAllowed = d.storeLoads(p, in.StoreLoadsRunning, now)
+	in.StoreConcurrency = d.poolStore(p.name).concurrency()
+	in.StoreLoadsAllowed = d.storeLoadsAllowed(p, in.StoreLoadsRunning, now)
 	return in
 }
 
-func (d *Driver) heldOrComing(t target) bool {
+func (d *Driver) isLoadedOrIncoming(t target) bool {
 	for _, e := range d.engines {
 		if e.pool != t.pool {
 			continue
@@ -452,8 +456,8 @@
 		if e.phase > phaseKnown && e.order.Load && e.order.Model == t.model && e.order.Adapter == t.adapter {
 			return true
 		}
-		if h := e.held[t.model]; h != nil {
-			if _, ok := h.Adapters[t.adapter]; ok {
+		if l := e.loaded[t.model]; l != nil {
+			if _, ok := l.Adapters[t.adapter]; ok {
 				return true
 			}
 		}
@@ -461,21 +465,21 @@
 	return false
 }
 
-// storeLoads is how many loads from the weight store may begin now, by the
-// store's own pace over a window and by what it serves at full speed. For one
-// window after this host began to lead, what its predecessor began counts as
-// much as could have been.
-func (d *Driver) storeLoads(p *pool, running int, now time.Time) int {
-	if now.Sub(d.since) < d.cfg.LoadWindow {
+// storeLoadsAllowed returns how many loads from the weight store may begin now, by the store's
+// rate limit over LoadWindow and its estimated concurrency. For one window after a change of
+// leader it is 0: the loads that the previous leader began are unknown and count as many as the
+// limit allows.
+func (d *Driver) storeLoadsAllowed(p *pool, running int, now time.Time) int {
+	if now.Sub(d.leaderSince) < d.cfg.LoadWindow {
 		return 0
 	}
-	kept := d.begun[p.name][:0]
-	for _, at := range d.begun[p.name] {
+	inWindow := d.storeLoadStarts[p.name][:0]
+	for _, at := range d.storeLoadStarts[p.name] {
 		if now.Sub(at) < d.cfg.LoadWindow {
-			kept = append(kept, at)
+			inWindow = append(inWindow, at)
 		}
 	}
-	d.begun[p.name] = kept
-	paced := int(p.spec.GetLoadsPerSecond()*d.cfg.LoadWindow.Seconds()) - len(kept)
-	return max(min(paced, d.storeOf(p.name).atOnce()-running), 0)
+	d.storeLoadStarts[p.name] = inWindow
+	withinRate := int(p.spec.GetLoadsPerSecond()*d.cfg.LoadWindow.Seconds()) - len(inWindow)
+	return max(min(withinRate, d.poolStore(p.name).concurrency()-running), 0)
 }
--- a/internal/loading/driver_test.go
+++ b/internal/loading/driver_test.go
@@ -27,72 +27,72 @@
 )
 
 const (
-	memoryMB = 83000.0
-	places   = 3
-	lease    = 3 * time.Second
+	memoryMB     = 83000.0
+	adapterSlots = 3
+	orderLease   = 3 * time.Second
 )
 
-// hosts are three control hosts, of which one leads at a time. Any of them may be
-// cut off from the others for a while.
-type hosts struct {
-	s       *site
+// controlHosts are three control hosts, one of which leads at a time. Each may be cut off from
+// the others for a while.
+type controlHosts struct {
+	cluster *cluster
 	drivers []*loading.Driver
 	rosters []*roster.Roster
-	hands   []*loading.Sender
+	senders []*loading.Sender
 
 	mu     sync.Mutex
 	leader int
 	term   uint64
-	// holders is what the group's log holds.
+	// holders are the order holders in the group's log.
 	holders map[string]loading.Holder
-	// cut holds until when a host reaches no other.
-	cut [hostCount]time.Time
+	// cutUntil is until when a host reaches no other.
+	cutUntil [hostCount]time.Time
 }
 
 const hostCount = 3
 
 func hostName(i int) string { return fmt.Sprint("host-", i) }
 
-func (h *hosts) leads(i int) loading.Leadership {
+func (h *controlHosts) leadership(i int) loading.Leadership {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return loading.Leadership{IsLeader: h.leader == i, Term: h.term}
 }
 
-func (h *hosts) elect(i int) {
+func (h *controlHosts) elect(i int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.leader, h.term = i, h.term+1
 }
 
-// sever cuts a host off from the others; one that led is replaced.
-func (h *hosts) sever(i int, d time.Duration) {
+// cutOff cuts a host off from the others and replaces it if it leads.
+func (h *controlHosts) cutOff(i int, d time.Duration) {
 	h.mu.Lock()
-	h.cut[i] = time.Now().Add(d)
-	led := h.leader == i
+	h.cutUntil[i] = time.Now().Add(d)
+	wasLeader := h.leader == i
 	h.mu.Unlock()
-	if led {
+	if wasLeader {
 		h.elect((i + 1) % hostCount)
 	}
 }
 
-func (h *hosts) reaches(from, to int) bool {
+func (h *controlHosts) reaches(from, to int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	return from == to || now.After(h.cut[from]) && now.After(h.cut[to])
+	return from == to || now.After(h.cutUntil[from]) && now.After(h.cutUntil[to])
 }
 
-func (h *hosts) of(server string) loading.Holder {
+func (h *controlHosts) holder(server string) loading.Holder {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.holders[server]
 }
 
-// holdersAt is the log as the host at an index reaches it.
-func (h *hosts) holdersAt(i int) loading.Holders {
+// holdersAt returns the log as the host at an index accesses it.
+func (h *controlHosts) holdersAt(i int) loading.Holders {
 	return loading.Holders{
-		Get: h.of,
+		Get: h.holder,
 		Servers: func() []string {
 			h.mu.Lock()
 			defer h.mu.Unlock()
@@ -104,7 +104,7 @@
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			if h.leader != i {
-				return errors.New("another leads")
+				return errors.New("not the leader")
 			}
 			for server, c := range changes {
 				if h.holders[server].Host == c.From {
@@ -116,22 +116,22 @@
 		SendOrder: func(ctx context.Context, holder string, term uint64, address string, o loading.Order) (loading.Outcome, error) {
 			to := slices.IndexFunc([]string{hostName(0), hostName(1), hostName(2)}, func(n string) bool { return n == holder })
 			if !h.reaches(i, to) {
-				// The partition may hold the call up until it heals.
-				h.s.mu.Lock()
-				late := time.Duration(h.s.random.IntN(8000)) * time.Millisecond
-				h.s.mu.Unlock()
-				time.AfterFunc(late, func() { _, _ = h.hands[to].Send(context.Background(), term, address, o) })
+				// The partition may delay the call until it heals.
+				h.cluster.mu.Lock()
+				delay := time.Duration(h.cluster.random.IntN(8000)) * time.Millisecond
+				h.cluster.mu.Unlock()
+				time.AfterFunc(delay, func() { _, _ = h.senders[to].Send(context.Background(), term, address, o) })
 				<-ctx.Done()
 				return loading.OutcomeUnknown, errors.Newf("cut off: %w", loading.ErrNoHolderReply)
 			}
 			time.Sleep(2 * time.Millisecond)
-			return h.hands[to].Send(ctx, term, address, o)
+			return h.senders[to].Send(ctx, term, address, o)
 		},
 	}
 }
 
-// catch is the group's word to the host at an index.
-func (h *hosts) catch(i int) (uint64, error) {
+// catchUp confirms the leader's term for the host at an index.
+func (h *controlHosts) catchUp(i int) (uint64, error) {
 	time.Sleep(3 * time.Millisecond)
 	h.mu.Lock()
 	leader, term := h.leader, h.term
@@ -142,42 +142,42 @@
 	return term, nil
 }
 
-func newHosts(s *site) *hosts {
-	h := &hosts{s: s, term: 2, holders: map[string]loading.Holder{}}
+func newControlHosts(s *cluster) *controlHosts {
+	h := &controlHosts{cluster: s, term: 2, holders: map[string]loading.Holder{}}
 	for i := range hostCount {
 		r := roster.New(roster.Config{
 			AnnounceEvery: 1200 * time.Millisecond, Departed: func(string) bool { return false }, Now: time.Now, Log: logr.Discard(),
 		})
 		h.rosters = append(h.rosters, r)
-		engines := s.reach()
-		h.hands = append(h.hands, loading.NewSender(loading.SenderConfig{
-			CatchUp:  func(context.Context) (uint64, error) { return h.catch(i) },
-			IsHolder: func(key string) bool { return h.of(incarnation.ServerOf(key)).Host == hostName(i) },
+		engines := s.client()
+		h.senders = append(h.senders, loading.NewSender(loading.SenderConfig{
+			CatchUp:  func(context.Context) (uint64, error) { return h.catchUp(i) },
+			IsHolder: func(key string) bool { return h.holder(incarnation.ServerOf(key)).Host == hostName(i) },
 			SendOrder: func(ctx context.Context, address string, o loading.Order) (loading.Outcome, error) {
 				return engines.SendOrder(ctx, address, hostName(i), o)
 			},
 			Now: time.Now, Log: logr.Discard(),
 		}))
 		h.drivers = append(h.drivers, loading.NewDriver(loading.Config{
-			Leadership: func() loading.Leadership { return h.leads(i) }, Holders: h.holdersAt(i), FetchReport: engines.FetchReport,
+			Leadership: func() loading.Leadership { return h.leadership(i) }, Holders: h.holdersAt(i), FetchReport: engines.FetchReport,
 			Roster: r, Pools: func() []*schema.Pool { return []*schema.Pool{s.pool} },
-			KnownServers: func() []*schema.KnownServer { return s.known },
-			OrderLease:   lease, LoadWindow: 5 * time.Second, Now: time.Now, Log: logr.Discard(),
+			KnownServers: func() []*schema.KnownServer { return s.knownServers },
+			OrderLease:   orderLease, LoadWindow: 5 * time.Second, Now: time.Now, Log: logr.Discard(),
 		}))
 	}
 	return h
 }
 
-func (h *hosts) announce(s *site, sequence uint64) {
+func (h *controlHosts) announce(s *cluster, sequence uint64) {
 	for i := range h.drivers {
-		if !h.leads(i).IsLeader {
+		if !h.leadership(i).IsLeader {
 			continue
 		}
 		h.drivers[i].RefreshLeadership()
 		for id := range s.engines {
 			s.mu.Lock()
-			a := roster.Announcement{ID: s.engines[id].key(), Pool: "llm", Address: id, Sequence: sequence, Loaded: s.engines[id].views()}
-			for name := range s.engines[id].disk {
+			a := roster.Announcement{ID: s.engines[id].key(), Pool: "llm", Address: id, Sequence: sequence, Loaded: s.engines[id].models()}
+			for name := range s.engines[id].onDisk {
 				a.OnDisk = append(a.OnDisk, name)
 			}
 			s.mu.Unlock()
@@ -185,53 +185,52 @@
 				h.drivers[i].HandleAnnouncement(a)
 			}
 			if s.restarts {
-				require.True(s.t, h.rosters[i].Ready(a.ID), "seed %d: %s has announced itself", s.seed, a.ID)
+				require.True(s.t, h.rosters[i].Ready(a.ID), "seed %d: %s is not ready after its announcement", s.seed, a.ID)
 			}
 		}
 	}
 }
 
-// Leaders change, orders get no answer and are carried out up to 12 s late, and
-// demand moves on all the while. No engine may ever be ordered to hold more than
-// fits, two hosts' orders are a lease apart, tokens grow, and the loads from the
-// weight store keep its pace.
+// Leaders change, orders get no reply and are executed up to 12 s late, and demand changes all
+// the while. No engine may be ordered to load more than fits, the orders of two hosts are a
+// lease apart, fencing tokens grow, and loads from the weight store stay within its rate limit.
 func TestOrdersUnderFaults(t *testing.T) {
 	for i := range *schedules {
 		seed := *firstSeed + uint64(i)
-		synctest.Test(t, func(t *testing.T) { runSchedule(t, newSite(t, seed)) })
+		synctest.Test(t, func(t *testing.T) { runSchedule(t, newCluster(t, seed)) })
 	}
 }
 
-// Beside all that, engines crash and start again under their ids. An order to the start
-// before that had no answer is carried out by the next, whose count of orders has come
-// to the same number: an engine that is filled up by then is ordered to hold more than
-// fits and ends, with every answer that it is at. Each start is heard from its first
-// word, whoever leads.
+// As TestOrdersUnderFaults, but engines crash and restart under their ids. An order to the
+// previous incarnation that got no reply is executed by the next, whose number of orders taken
+// has become the same: if the engine is full by then it is ordered to load more than fits, and
+// crashes with all its requests. The first announcement of each incarnation must be accepted,
+// whoever leads.
 func TestOrdersWhileEnginesStartAgain(t *testing.T) {
-	// Seeds that failed while this was built: a held up order to the start before that
-	// followed one to the next; a lease that was forgotten with the start (two); two
-	// late orders; one of a leader before, to a start that nobody recorded any more.
+	// These seeds showed: a delayed order to the previous incarnation that followed one to the
+	// next; a lease that was dropped with the incarnation (two seeds); two late orders; a late
+	// order of an earlier leader, to an incarnation that was no longer recorded.
 	seeds := []uint64{46, 103, 1020, 2838, 7176}
 	for i := range *schedules {
 		seeds = append(seeds, *firstSeed+uint64(i))
 	}
 	for _, seed := range seeds {
 		synctest.Test(t, func(t *testing.T) {
-			s := newSite(t, seed)
+			s := newCluster(t, seed)
 			s.restarts = true
 			runSchedule(t, s)
 		})
 	}
 }
 
-// restartSome has each engine start again now and then, and the log take note of those
-// that were heard before it.
-func (s *site) restartSome() {
+// restartSome records all current incarnations in the log, and then restarts some engines at
+// random.
+func (s *cluster) restartSome() {
 	s.mu.Lock()
-	s.known = nil
+	s.knownServers = nil
 	var due []string
 	for _, id := range slices.Sorted(maps.Keys(s.engines)) {
-		s.known = append(s.known, &schema.KnownServer{Id: s.engines[id].key(), Pool: "llm", Address: id})
+		s.knownServers = append(s.knownServers, &schema.KnownServer{Id: s.engines[id].key(), Pool: "llm", Address: id})
 		if s.random.IntN(10) == 0 {
 			due = append(due, id)
 		}
@@ -242,12 +241,12 @@
 	}
 }
 
-func runSchedule(t *testing.T, s *site) {
-	s.lost = s.random.Float64() * 0.5
-	h := newHosts(s)
-	for beat := range uint64(50) {
+func runSchedule(t *testing.T, s *cluster) {
+	s.unansweredShare = s.random.Float64() * 0.5
+	h := newControlHosts(s)
+	for round := range uint64(50) {
 		s.mu.Lock()
-		change, cut, host := s.random.IntN(12) == 0, s.random.IntN(15) == 0, s.random.IntN(hostCount)
+		change, partition, host := s.random.IntN(12) == 0, s.random.IntN(15) == 0, s.random.IntN(hostCount)
 		length := time.Duration(s.random.IntN(9000)) * time.Millisecond
 		var demands []*schema.ModelDemand
 		for range 3 {
@@ -261,15 +260,15 @@
 		if s.restarts {
 			s.restartSome()
 		}
-		if cut {
-			h.sever(host, length)
+		if partition {
+			h.cutOff(host, length)
 		}
 		if change && h.reaches(h.leader, host) {
 			h.elect(host)
 		}
-		h.announce(s, beat+1)
+		h.announce(s, round+1)
 		for j := range h.drivers {
-			if h.leads(j).IsLeader {
+			if h.leadership(j).IsLeader {
 				h.drivers[j].HandleDemand("entry", demands)
 			}
 		}
@@ -280,16 +279,16 @@
 	checkPace(t, s)
 }
 
-// checkPace allows what the platform does: the pace over any window with a tenth
-// and three on top. Orders that were carried out late count as well.
-func checkPace(t *testing.T, s *site) {
+// checkPace checks the limit that the platform enforces: the rate limit over any window, plus a
+// tenth and three loads. Orders that were executed late count as well.
+func checkPace(t *testing.T, s *cluster) {
 	const window = 5 * time.Second
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	limit := 3*window.Seconds()*1.1 + 3
-	for i, from := range s.stores {
+	for i, from := range s.storeLoadStarts {
 		n := 0
-		for _, at := range s.stores[i:] {
+		for _, at := range s.storeLoadStarts[i:] {
 			if at.Sub(from) < window {
 				n++
 			}
@@ -298,25 +297,25 @@
 	}
 }
 
-// A model that a caller waits for is loaded, and the callers' entries learn it:
-// this is what the schedules above are worth nothing without.
-func TestWaitingModelComes(t *testing.T) {
+// A model that a request waits for is loaded, and published to the entries. Without this check
+// the fault schedules would pass if nothing were ever loaded.
+func TestWaitingModelIsLoaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 1)
-		s.engines["e2"].disk["m3"] = true
-		h := newHosts(s)
-		for beat := range uint64(12) {
-			h.announce(s, beat+1)
+		s := newCluster(t, 1)
+		s.engines["e2"].onDisk["m3"] = true
+		h := newControlHosts(s)
+		for round := range uint64(12) {
+			h.announce(s, round+1)
 			h.drivers[0].HandleDemand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m3", Adapter: "a2", Waiting: 1, Arrived: 1}})
 			time.Sleep(1200 * time.Millisecond)
 		}
 		s.mu.Lock()
-		held := s.engines["e2"].held["m3"]["a2"]
+		loaded := s.engines["e2"].loaded["m3"]["a2"]
 		s.mu.Unlock()
-		require.True(t, held)
-		views, _ := h.rosters[0].ServersSince(0)
+		require.True(t, loaded)
+		servers, _ := h.rosters[0].ServersSince(0)
 		found := false
-		for _, v := range views {
+		for _, v := range servers {
 			for _, m := range v.GetModels() {
 				found = found || v.GetId() == "e2" && m.GetName() == "m3" && slices.Contains(m.GetAdapters(), "a2")
 			}
@@ -331,139 +330,137 @@
 	return time.Duration(list[0].GetReadyInMs()) * time.Millisecond
 }
 
-// await waits until something holds, in simulated time, and returns how long.
-func await(t *testing.T, holds func() bool) time.Duration {
+// await waits until a condition is true, in simulated time, and returns how long it took.
+func await(t *testing.T, condition func() bool) time.Duration {
 	t.Helper()
 	began := time.Now()
-	for !holds() {
+	for !condition() {
 		require.Less(t, time.Since(began), time.Minute)
 		time.Sleep(10 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-func (s *site) holds(engine, model string) bool {
+func (s *cluster) isLoaded(engine, model string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.engines[engine].held[model] != nil
+	return s.engines[engine].loaded[model] != nil
 }
 
-// ask has callers wait for a model that lies on the disk of e2.
-func (h *hosts) ask(sequence uint64) {
-	h.announce(h.s, sequence)
+// reportDemand announces all engines and reports a waiting request for a model on the disk of
+// e2.
+func (h *controlHosts) reportDemand(sequence uint64) {
+	h.announce(h.cluster, sequence)
 	for i := range h.drivers {
-		if h.leads(i).IsLeader {
+		if h.leadership(i).IsLeader {
 			h.drivers[i].HandleDemand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m3", Waiting: 1, Arrived: 1}})
 		}
 	}
 }
 
-// The leader is lost while callers wait for a rare model. The next leader goes on
-// through the same order holder, and the model is there after a report and a
-// load; with orders from the leaders themselves it took the lease and a second.
-func TestOrdersGoOnThroughAChangeOfLeader(t *testing.T) {
+// The leader is lost while requests for a rare model wait. The next leader uses the same order
+// holder, so the model is loaded after a report and a load; with orders sent by the leaders
+// themselves it took the lease and a second.
+func TestOrdersContinueAfterLeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 1)
-		s.engines["e2"].disk["m3"] = true
-		h := newHosts(s)
+		s := newCluster(t, 1)
+		s.engines["e2"].onDisk["m3"] = true
+		h := newControlHosts(s)
 		h.announce(s, 1)
-		await(t, func() bool { return h.of("e2").Host != "" })
+		await(t, func() bool { return h.holder("e2").Host != "" })
 		h.elect(1)
-		h.ask(2)
-		took := await(t, func() bool { return s.holds("e2", "m3") })
+		h.reportDemand(2)
+		took := await(t, func() bool { return s.isLoaded("e2", "m3") })
 		require.Less(t, took, 1500*time.Millisecond)
 		h.stop()
 	})
 }
 
-// The same, where the engine is full of models that nobody asks for: the next leader
-// hears of them for the first time, and makes room as soon as it has heard of demand.
-// It kept them for two seconds, as if they had been loaded just then.
-func TestRoomIsMadeSoonAfterAChangeOfLeader(t *testing.T) {
+// As TestOrdersContinueAfterLeaderChange, with the engine full of models without requests. The
+// next leader sees them for the first time, and must make room as soon as it has received
+// demand. Once it kept them for two seconds, as if they had just been loaded.
+func TestRoomIsMadeAfterLeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 1)
+		s := newCluster(t, 1)
 		e := s.engines["e2"]
-		e.disk["m3"] = true
-		e.held["m1"], e.held["m5"] = map[string]bool{}, map[string]bool{}
-		h := newHosts(s)
+		e.onDisk["m3"] = true
+		e.loaded["m1"], e.loaded["m5"] = map[string]bool{}, map[string]bool{}
+		h := newControlHosts(s)
 		h.announce(s, 1)
-		await(t, func() bool { return h.of("e2").Host != "" })
+		await(t, func() bool { return h.holder("e2").Host != "" })
 		time.Sleep(3 * time.Second)
 		h.elect(1)
-		h.ask(2)
-		took := await(t, func() bool { return s.holds("e2", "m3") })
+		h.reportDemand(2)
+		took := await(t, func() bool { return s.isLoaded("e2", "m3") })
 		require.Less(t, took, 2500*time.Millisecond)
 		h.stop()
 	})
 }
 
-// All hosts have lost power, and the engines, which have not, announce themselves once
-// in a second or so. The next leader knows from the log where they are and asks them:
-// callers of a rare model are served after a report and a load, also before the first
-// announcement.
-func TestNextLeaderAsksRecordedEngines(t *testing.T) {
+// All hosts have lost power, but the engines have not and announce themselves about once per
+// second. The next leader has their addresses from the log and queries them: requests for a
+// rare model are served after a report and a load, also before the first announcement.
+func TestNewLeaderQueriesRecordedEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 1)
-		s.engines["e2"].disk["m3"] = true
-		h := newHosts(s)
+		s := newCluster(t, 1)
+		s.engines["e2"].onDisk["m3"] = true
+		h := newControlHosts(s)
 		for id := range s.engines {
 			h.holders[id] = loading.Holder{Host: hostName(0), Settled: true}
-			s.known = append(s.known, &schema.KnownServer{Id: id, Pool: "llm", Address: id})
+			s.knownServers = append(s.knownServers, &schema.KnownServer{Id: id, Pool: "llm", Address: id})
 		}
-		s.known = append(s.known, &schema.KnownServer{Id: "app-1", Pool: "app", Address: "a"})
+		s.knownServers = append(s.knownServers, &schema.KnownServer{Id: "app-1", Pool: "app", Address: "a"})
 		h.elect(1)
 		h.drivers[1].RefreshLeadership()
 		h.drivers[1].HandleDemand("entry", []*schema.ModelDemand{{Pool: "llm", Model: "m3", Waiting: 1, Arrived: 1}})
 		await(t, func() bool { return h.rosters[1].Ready("app-1") })
-		require.Less(t, await(t, func() bool { return s.holds("e2", "m3") }), 1500*time.Millisecond)
+		require.Less(t, await(t, func() bool { return s.isLoaded("e2", "m3") }), 1500*time.Millisecond)
 		h.stop()
 	})
 }
 
-func (h *hosts) stop() {
+func (h *controlHosts) stop() {
 	for _, d := range h.drivers {
 		d.Stop()
 	}
 }
 
-// The host that holds an engine's orders is cut off. Another takes them over after
-// a lease, in which callers of a model on the engine's disk are told when it can
-// be there, so that those with time are kept; of a model without any copy nothing
-// is promised.
+// The order holder of an engine is cut off. Another host takes over after a lease. Meanwhile
+// requests for a model on the engine's disk get a forecast of when it can be loaded, so that
+// those with a later deadline wait; for a model without a copy there is no forecast.
 func TestOrderHolderIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 1)
-		s.engines["e2"].disk["m3"] = true
-		h := newHosts(s)
+		s := newCluster(t, 1)
+		s.engines["e2"].onDisk["m3"] = true
+		h := newControlHosts(s)
 		for id := range s.engines {
 			h.holders[id] = loading.Holder{Host: hostName(0), Settled: true}
 		}
-		h.sever(0, time.Hour)
+		h.cutOff(0, time.Hour)
 		began := time.Now()
-		h.ask(1)
-		await(t, func() bool { return h.of("e2").Host != hostName(0) })
+		h.reportDemand(1)
+		await(t, func() bool { return h.holder("e2").Host != hostName(0) })
 		time.Sleep(100 * time.Millisecond)
 		got := forecast(h.drivers[1], "m3")
-		require.Greater(t, got, lease)
-		require.Less(t, got, lease+3*time.Second)
+		require.Greater(t, got, orderLease)
+		require.Less(t, got, orderLease+3*time.Second)
 		require.Negative(t, forecast(h.drivers[1], "m4"))
-		await(t, func() bool { return s.holds("e2", "m3") })
-		require.Less(t, time.Since(began), lease+4*time.Second)
+		await(t, func() bool { return s.isLoaded("e2", "m3") })
+		require.Less(t, time.Since(began), orderLease+4*time.Second)
 		h.stop()
 	})
 }
 
-// The weight store is slower than the configuration says. A caller that comes
-// after the time at which the load should have ended must not be told that it is
-// nearly there: it would wait until its time is over.
+// The weight store is slower than configured. A request that arrives after the configured load
+// time must not get a forecast that the load is nearly done: it would wait until its deadline.
 func TestForecastOfAnOverdueLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 1)
-		s.storeTime = time.Minute
-		h := newHosts(s)
+		s := newCluster(t, 1)
+		s.storeLoadTime = time.Minute
+		h := newControlHosts(s)
 		waiting := []*schema.ModelDemand{{Pool: "llm", Model: "m4", Arrived: 1, Waiting: 1}}
-		for beat := range uint64(20) {
-			h.announce(s, beat+1)
+		for round := range uint64(20) {
+			h.announce(s, round+1)
 			h.drivers[0].HandleDemand("entry", waiting)
 			time.Sleep(1200 * time.Millisecond)
 		}
@@ -473,12 +470,12 @@
 	})
 }
 
-// Engines by the dozen are cut off, and no order to them has an answer. Each is given again
-// soon at first, as an answer is lost now and then, and then more and more seldom: the same
-// calls again and again keep a leader from leading.
-func TestOrdersWithoutAnswersAreGivenMoreAndMoreSeldom(t *testing.T) {
+// Dozens of engines are cut off, and no order to them gets a reply. Each order is soon repeated
+// at first, as a reply is lost now and then, and then at growing intervals: the constant
+// repetition of the same calls makes a leader lose its leadership.
+func TestUnansweredOrdersBackOff(t *testing.T) {
 	for tries, want := range []time.Duration{300, 300, 300, 300, 600, 600, 1200, 1200, 1200} {
-		require.Equal(t, want*time.Millisecond, loading.AgainAfter(tries), tries)
+		require.Equal(t, want*time.Millisecond, loading.RetryDelayAfter(tries), tries)
 	}
-	require.Equal(t, 1200*time.Millisecond, loading.AgainAfter(1000))
+	require.Equal(t, 1200*time.Millisecond, loading.RetryDelayAfter(1000))
 }
--- a/internal/loading/engine.go
+++ b/internal/loading/engine.go
@@ -9,114 +9,115 @@
 	"fennelyard/internal/schema"
 )
 
-// phase is how far the leader's knowledge of an engine goes.
+// phase is how much the leader knows of an engine and its order.
 type phase int
 
 const (
-	// phaseUnknown: a report must be had before any order.
+	// phaseUnknown: a report is required before the next order.
 	phaseUnknown phase = iota
-	// phaseKnown: what is held and how many orders were taken is known.
+	// phaseKnown: the loaded models and the number of orders taken are known.
 	phaseKnown
-	// phaseGiving: an order is on its way.
-	phaseGiving
-	// phaseUncertain: the order has no answer that proves anything. The same one
-	// is given again under the same number of taken orders: if the first was
-	// taken the second is refused, and if the second is taken the first can never
-	// be.
-	phaseUncertain
-	// phaseWorking: a model's order was taken and its end is not seen.
-	phaseWorking
+	// phaseSending: an order is being sent.
+	phaseSending
+	// phaseUnconfirmed: the order got no conclusive reply. The same order is sent again with
+	// the same number of orders taken: if the first was taken the second is refused, and if the
+	// second is taken the first never can be.
+	phaseUnconfirmed
+	// phaseExecuting: an order for a model was taken and its completion is not observed yet.
+	phaseExecuting
 )
 
-// engine is what the leader knows of one engine's incarnation.
+// engine is the leader's state of one incarnation of an engine.
 type engine struct {
 	// id is the incarnation's key, server the server's id.
 	id      string
 	server  string
 	pool    string
 	address string
-	// slots is how many requests the engine works on at once.
+	// slots is how many requests the engine runs concurrently.
 	slots int
 	phase phase
-	// taken is the number of orders that the engine has taken; valid from
-	// phaseKnown on.
-	taken uint64
-	held  map[string]*LoadedModel
-	// inMemory and onDisk are the models that the engine has copies of.
+	// ordersTaken is the number of orders that the engine has taken; valid from phaseKnown on.
+	ordersTaken uint64
+	loaded      map[string]*LoadedModel
+	// inMemory and onDisk are the models of which the engine has copies.
 	inMemory map[string]bool
 	onDisk   map[string]bool
-	// order is the order under way in the phases after phaseKnown.
-	order Action
-	given time.Time
-	due   time.Time
-	// atOnce is how many loads the weight store had when it began this one, with it.
-	atOnce int
-	tries  int
-	// touched is when an order last changed something here: older words of the
-	// engine about what it holds are not believed.
-	touched time.Time
-	// cleared is the model that the last order made room for, until clearedKeep
-	// after touched; "": none.
-	cleared string
-	// notBefore holds the next order or report back after a failure.
+	// order is the order in progress in the phases after phaseKnown.
+	order     Action
+	orderedAt time.Time
+	// dueAt is when the order in progress should be completed, in phaseExecuting.
+	dueAt time.Time
+	// storeConcurrency is the number of loads that the weight store served when it began this
+	// one, including it.
+	storeConcurrency int
+	tries            int
+	// changedAt is when an order last changed the loaded models; older reports of them are
+	// ignored.
+	changedAt time.Time
+	// roomMadeFor is the model that the last order made room for, valid until roomTimeout after
+	// changedAt; "": none.
+	roomMadeFor string
+	// notBefore delays the next order or report after a failure.
 	notBefore time.Time
-	// holder is who gives this engine its orders, the zero value before one is
-	// recorded. ordersFrom is when it may begin to: after another holder's last.
-	holder     Holder
-	ordersFrom time.Time
-	// missed counts orders in a row without an answer, since missedFrom. unheld is
-	// set where the last one failed at the holder, not at the engine.
-	missed     int
-	missedFrom time.Time
-	unheld     bool
-	// unproved are loads that were ordered and had no answer that proves what became of
-	// them, late those to earlier starts of the server; the oldest go first.
-	unproved, late []sentLoad
-	// unheard is until when orders that an earlier leader gave to an earlier start may
-	// be carried out here.
-	unheard time.Time
+	// holder is the order holder of this engine, the zero value until one is recorded.
+	// ordersAllowedFrom is when it may send its first order, after the lease of the previous
+	// holder.
+	holder            Holder
+	ordersAllowedFrom time.Time
+	// unanswered counts consecutive orders without a reply, since unansweredSince.
+	// failedAtHolder is set if the last one failed at the order holder, not at the engine.
+	unanswered      int
+	unansweredSince time.Time
+	failedAtHolder  bool
+	// unconfirmed are loads that were ordered without a conclusive reply, and lateLoads those
+	// that were ordered of earlier incarnations of the server; oldest first.
+	unconfirmed, lateLoads []sentLoad
+	// earlierOrdersUntil is until when orders that an earlier leader sent to an earlier
+	// incarnation may still be executed here.
+	earlierOrdersUntil time.Time
 }
 
-// newEngine returns an engine of which nothing is known but its incarnation.
+// newEngine returns an engine of which only the incarnation is known.
 func newEngine(id, pool string) *engine {
-	return &engine{id: id, server: incarnation.ServerOf(id), pool: pool, held: map[string]*LoadedModel{}}
+	return &engine{id: id, server: incarnation.ServerOf(id), pool: pool, loaded: map[string]*LoadedModel{}}
 }
 
-// heardHold keeps a model for a moment after a leader has first heard that an engine
-// holds it: until entries have said what is asked for. Were it kept for as long as one
-// that was loaded just now, no room could be made anywhere for two seconds after each
-// change of leader, and callers of rare models waited out their aim.
-const heardHold = 500 * time.Millisecond
+// observedMinResidency is how long a model stays after a leader first learned that an engine
+// has it, until entries have reported their demand. With the minResidency of a new load, no
+// room could be made at any engine for two seconds after each change of leader, and requests
+// for rare models missed their target.
+const observedMinResidency = 500 * time.Millisecond
 
-// learn takes what the engine holds from its own word.
-func (e *engine) learn(held []*schema.HeldModel, now time.Time) {
+// setLoaded sets the loaded models from the engine's report or announcement.
+func (e *engine) setLoaded(reported []*schema.HeldModel, now time.Time) {
 	next := map[string]*LoadedModel{}
-	for _, h := range held {
-		old := e.held[h.GetName()]
+	for _, m := range reported {
+		old := e.loaded[m.GetName()]
 		if old == nil {
-			old = &LoadedModel{Model: h.GetName(), Since: now.Add(heardHold - minHold), Adapters: map[string]time.Time{}}
+			old = &LoadedModel{Model: m.GetName(), Since: now.Add(observedMinResidency - minResidency), Adapters: map[string]time.Time{}}
 		}
-		fresh := map[string]time.Time{}
-		for _, a := range h.GetAdapters() {
-			fresh[a] = old.Adapters[a]
+		adapters := map[string]time.Time{}
+		for _, a := range m.GetAdapters() {
+			adapters[a] = old.Adapters[a]
 		}
-		next[h.GetName()] = &LoadedModel{Model: old.Model, Since: old.Since, Adapters: fresh}
+		next[m.GetName()] = &LoadedModel{Model: old.Model, Since: old.Since, Adapters: adapters}
 	}
-	e.held = next
+	e.loaded = next
 }
 
-// holdsJust reports whether the engine is believed to hold what its word says and no more.
-func (e *engine) holdsJust(said []*schema.HeldModel) bool {
-	if len(said) != len(e.held) {
+// loadedMatches reports whether the known loaded models are exactly those reported.
+func (e *engine) loadedMatches(reported []*schema.HeldModel) bool {
+	if len(reported) != len(e.loaded) {
 		return false
 	}
-	for _, m := range said {
-		h := e.held[m.GetName()]
-		if h == nil || len(m.GetAdapters()) != len(h.Adapters) {
+	for _, m := range reported {
+		l := e.loaded[m.GetName()]
+		if l == nil || len(m.GetAdapters()) != len(l.Adapters) {
 			return false
 		}
 		for _, a := range m.GetAdapters() {
-			if _, there := h.Adapters[a]; !there {
+			if _, present := l.Adapters[a]; !present {
 				return false
 			}
 		}
@@ -124,16 +125,16 @@
 	return true
 }
 
-// views returns what entries are told: models that may be sent to. A model that
-// is about to be unloaded is left out before the order leaves.
-func (e *engine) views() []*schema.HeldModel {
+// routableModels returns the models and adapters that entries may route requests to. A model is
+// removed from it before the order to unload it is sent.
+func (e *engine) routableModels() []*schema.HeldModel {
 	var out []*schema.HeldModel
-	for _, name := range slices.Sorted(maps.Keys(e.held)) {
+	for _, name := range slices.Sorted(maps.Keys(e.loaded)) {
 		if e.unloading() == name {
 			continue
 		}
 		v := &schema.HeldModel{Name: name}
-		for _, a := range slices.Sorted(maps.Keys(e.held[name].Adapters)) {
+		for _, a := range slices.Sorted(maps.Keys(e.loaded[name].Adapters)) {
 			if e.phase > phaseKnown && !e.order.Load && e.order.Model == name && e.order.Adapter == a {
 				continue
 			}
@@ -144,10 +145,12 @@
 	return out
 }
 
-// fromStore reports whether the weight store serves the order under way.
-func (e *engine) fromStore() bool { return e.phase > phaseKnown && e.order.Load && e.order.FromStore }
+// loadsFromStore reports whether the order in progress loads from the weight store.
+func (e *engine) loadsFromStore() bool {
+	return e.phase > phaseKnown && e.order.Load && e.order.FromStore
+}
 
-// unloading names the model that the order under way drops, or "".
+// unloading returns the model that the order in progress unloads, or "".
 func (e *engine) unloading() string {
 	if e.phase > phaseKnown && !e.order.Load && e.order.Adapter == "" {
 		return e.order.Model
@@ -155,34 +158,34 @@
 	return ""
 }
 
-// clearedKeep is for how long the room that an order made is kept for its model: its
-// load is due in the next round, which comes within a tenth of a second.
-const clearedKeep = 500 * time.Millisecond
+// roomTimeout is how long the room that an unload made is reserved for its model: the load is
+// due in the next round, which starts within a tenth of a second.
+const roomTimeout = 500 * time.Millisecond
 
-// clearedFor returns the model that room was made for a moment ago, or "".
-func (e *engine) clearedFor(now time.Time) string {
-	if now.Sub(e.touched) > clearedKeep {
+// recentRoomFor returns the model for which the last order made room within roomTimeout, or "".
+func (e *engine) recentRoomFor(now time.Time) string {
+	if now.Sub(e.changedAt) > roomTimeout {
 		return ""
 	}
-	return e.cleared
+	return e.roomMadeFor
 }
 
-// view is the engine as Decide sees it; runs tells whether a model has requests
-// there.
-func (e *engine) view(runs func(server, model string) bool) *Engine {
+// view returns the engine as the input of Decide. hasRequests reports whether a model or
+// adapter has requests at a server.
+func (e *engine) view(hasRequests func(server, model string) bool) *Engine {
 	v := &Engine{ID: e.id, InMemory: e.inMemory, OnDisk: e.onDisk, Busy: e.phase != phaseKnown, Unloading: e.unloading()}
-	for _, name := range slices.Sorted(maps.Keys(e.held)) {
-		h := *e.held[name]
-		h.InUse = runs(e.id, name)
-		h.AdapterInUse = map[string]bool{}
-		for a := range h.Adapters {
-			h.AdapterInUse[a] = h.InUse && runs(e.id, name+"/"+a)
+	for _, name := range slices.Sorted(maps.Keys(e.loaded)) {
+		l := *e.loaded[name]
+		l.InUse = hasRequests(e.id, name)
+		l.AdapterInUse = map[string]bool{}
+		for a := range l.Adapters {
+			l.AdapterInUse[a] = l.InUse && hasRequests(e.id, name+"/"+a)
 		}
-		v.Loaded = append(v.Loaded, h)
+		v.Loaded = append(v.Loaded, l)
 	}
 	if e.phase > phaseKnown && e.order.Adapter == "" {
 		if e.order.Load {
-			v.Incoming, v.FromStore = e.order.Model, e.fromStore()
+			v.Incoming, v.FromStore = e.order.Model, e.loadsFromStore()
 		} else {
 			v.Incoming = e.order.RoomFor
 		}
@@ -190,27 +193,27 @@
 	return v
 }
 
-// done applies the order under way to what is held.
-func (e *engine) done(now time.Time) {
+// applyOrder applies the completed order to the known state.
+func (e *engine) applyOrder(now time.Time) {
 	o := e.order
-	e.cleared = ""
+	e.roomMadeFor = ""
 	switch {
 	case o.Load && o.Adapter == "":
-		if e.held[o.Model] == nil {
-			e.held[o.Model] = &LoadedModel{Model: o.Model, Since: now, Adapters: map[string]time.Time{}}
+		if e.loaded[o.Model] == nil {
+			e.loaded[o.Model] = &LoadedModel{Model: o.Model, Since: now, Adapters: map[string]time.Time{}}
 		}
 		e.inMemory[o.Model], e.onDisk[o.Model] = true, true
 	case o.Load:
-		if h := e.held[o.Model]; h != nil {
-			h.Adapters[o.Adapter] = now
+		if l := e.loaded[o.Model]; l != nil {
+			l.Adapters[o.Adapter] = now
 		}
 	case o.Adapter == "":
-		delete(e.held, o.Model)
-		e.cleared = o.RoomFor
+		delete(e.loaded, o.Model)
+		e.roomMadeFor = o.RoomFor
 	default:
-		if h := e.held[o.Model]; h != nil {
-			delete(h.Adapters, o.Adapter)
+		if l := e.loaded[o.Model]; l != nil {
+			delete(l.Adapters, o.Adapter)
 		}
 	}
-	e.phase, e.touched, e.tries = phaseKnown, now, 0
+	e.phase, e.changedAt, e.tries = phaseKnown, now, 0
 }
--- a/internal/loading/export_test.go
+++ b/internal/loading/export_test.go
@@ -2,29 +2,33 @@
 
 import "time"
 
-// Demand is what callers asked for of one model, for tests of the forecast.
+// Demand exposes the demand of one target.
 type Demand struct{ d demand }
 
-// Arrive notes a request.
-func (x *Demand) Arrive(at time.Time) { x.d.arrive(1, 0, 0, at) }
+// Record records one request.
+func (x *Demand) Record(at time.Time) { x.d.record(1, 0, 0, at) }
 
-// Rate returns the rate to be expected.
-func (x *Demand) Rate(at time.Time) float64 { return x.d.rateAt(at) }
+// ExpectedRate returns the expected request rate.
+func (x *Demand) ExpectedRate(at time.Time) float64 { return x.d.expectedRate(at) }
 
-// Store is what is learned of a weight store.
+// Store exposes the estimate of a weight store.
 type Store struct{ s store }
 
-// NewStore returns a store of which nothing is known.
+// NewStore returns the estimate of a store of unknown speed.
 func NewStore() *Store { return &Store{} }
 
-// AtOnce is how many loads it is given at once.
-func (x *Store) AtOnce() int { return x.s.atOnce() }
+// Concurrency returns the number of loads to run concurrently.
+func (x *Store) Concurrency() int { return x.s.concurrency() }
 
-// Ended notes a load's end.
-func (x *Store) Ended(atOnce int, took, full time.Duration) { x.s.ended(atOnce, took, full) }
+// RecordLoad records the time of a completed load.
+func (x *Store) RecordLoad(concurrent int, took, full time.Duration) {
+	x.s.recordLoad(concurrent, took, full)
+}
 
-// Running notes a load that goes on.
-func (x *Store) Running(atOnce int, gone, full time.Duration) { x.s.running(atOnce, gone, full) }
+// RecordProgress records the time of a load in progress.
+func (x *Store) RecordProgress(concurrent int, elapsed, full time.Duration) {
+	x.s.recordProgress(concurrent, elapsed, full)
+}
 
-// AgainAfter is how long after so many tries an order without an answer is given again.
-func AgainAfter(tries int) time.Duration { return againAfter(tries) }
+// RetryDelayAfter returns the delay before an order without a reply is sent again.
+func RetryDelayAfter(tries int) time.Duration { return retryDelayAfter(tries) }
--- a/internal/loading/holders.go
+++ b/internal/loading/holders.go
@@ -11,81 +11,81 @@
 	"fennelyard/internal/asynclog"
 )
 
-// miss notes the answer to an order: those in a row that brought none are
-// counted.
-func (e *engine) miss(o Outcome, err error, now time.Time) {
+// recordReply counts consecutive orders without a reply.
+func (e *engine) recordReply(o Outcome, err error, now time.Time) {
 	if o != OutcomeUnknown {
-		e.missed = 0
+		e.unanswered = 0
 		return
 	}
-	if e.missed++; e.missed == 1 {
-		e.missedFrom = now
+	if e.unanswered++; e.unanswered == 1 {
+		e.unansweredSince = now
 	}
-	e.unheld = errors.Is(err, ErrNotSent) || errors.Is(err, ErrNoHolderReply)
+	e.failedAtHolder = errors.Is(err, ErrNotSent) || errors.Is(err, ErrNoHolderReply)
 }
 
-// lost reports whether an engine's holder seems to be gone, or cut off from it.
-func (e *engine) lost(now time.Time) bool {
-	tries, patience := engineTries, enginePatience
-	if e.unheld {
-		tries, patience = holderTries, holderPatience
-	}
-	return e.missed >= tries && now.Sub(e.missedFrom) > patience && e.phase != phaseGiving
+// holderFailed reports whether an engine's order holder seems to be gone, or cut off from the
+// engine.
+func (e *engine) holderFailed(now time.Time) bool {
+	tries, timeout := engineFailureTries, engineFailureTimeout
+	if e.failedAtHolder {
+		tries, timeout = holderFailureTries, holderFailureTimeout
+	}
+	return e.unanswered >= tries && now.Sub(e.unansweredSince) > timeout && e.phase != phaseSending
 }
 
-// recordWait bounds the recording of holders; it takes a commit of the group.
-const recordWait = time.Second
+// recordTimeout bounds the recording of holders, which takes a commit of the group.
+const recordTimeout = time.Second
 
-// recall takes an engine's holder from the log. Where the holder has changed a
-// short while ago nobody knows when, and the lease begins with this leadership, or with
-// the change where this leader made it: to an earlier start of the engine's server.
-func (d *Driver) recall(e *engine) {
+// loadHolder reads an engine's order holder from the log. The time of a recent change of holder
+// is not recorded, so its lease begins with this leadership, or with the change if this leader
+// made it for an earlier incarnation of the server.
+func (d *Driver) loadHolder(e *engine) {
 	e.holder = d.cfg.Holders.Get(e.server)
 	if e.holder.Host == "" || e.holder.Settled {
 		return
 	}
-	e.ordersFrom = d.since.Add(d.cfg.OrderLease + leaseMargin)
-	if from := d.leases[e.server]; from.After(e.ordersFrom) {
-		e.ordersFrom = from
+	e.ordersAllowedFrom = d.leaderSince.Add(d.cfg.OrderLease + leaseMargin)
+	if from := d.ordersAllowedFrom[e.server]; from.After(e.ordersAllowedFrom) {
+		e.ordersAllowedFrom = from
 	}
 }
 
-// assign records order holders: for engines that have none, in place of those
-// that are lost, and that a lease is over.
-func (d *Driver) assign(now time.Time) {
-	if d.assigning {
+// assignHolders records order holders: for engines without one, in place of failed ones, and as
+// settled once the lease of the previous one is over.
+func (d *Driver) assignHolders(now time.Time) {
+	if d.recordingHolders {
 		return
 	}
-	next := d.choose(now)
+	next := d.chooseHolders(now)
 	if len(next) == 0 {
 		return
 	}
-	d.assigning = true
-	forgotten := d.forgotten(now)
+	d.recordingHolders = true
+	stale := d.staleServers(now)
 	d.wg.Add(1)
 	go func() {
 		defer d.wg.Done()
-		ctx, cancel := context.WithTimeout(context.Background(), recordWait)
+		ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 		defer cancel()
-		err := d.cfg.Holders.Record(ctx, next, forgotten)
-		d.assigned(next, err)
+		err := d.cfg.Holders.Record(ctx, next, stale)
+		d.handleRecorded(next, err)
 		d.wake()
 	}()
 }
 
-// choose returns the holders to record, by server. It spreads engines over the hosts, each to
-// the one with the fewest, and never gives one back to the holder that it lost.
-func (d *Driver) choose(now time.Time) map[string]HolderChange {
+// chooseHolders returns the holder changes to record, by server. It spreads engines over the
+// hosts, each to the one with the fewest, and never reassigns one to the holder that failed.
+func (d *Driver) chooseHolders(now time.Time) map[string]HolderChange {
 	next := map[string]HolderChange{}
 	var due []*engine
-	load := map[string]int{}
+	engineCount := map[string]int{}
 	for _, e := range d.engines {
-		load[e.holder.Host]++
+		engineCount[e.holder.Host]++
 		switch {
 		case d.pools[e.pool] == nil:
-		case e.holder.Host == "" || e.lost(now):
+		case e.holder.Host == "" || e.holderFailed(now):
 			due = append(due, e)
-		case !e.holder.Settled && now.After(e.ordersFrom):
+		case !e.holder.Settled && now.After(e.ordersAllowedFrom):
 			next[e.server] = HolderChange{From: e.holder.Host, To: Holder{Host: e.holder.Host, Settled: true}}
 		}
 	}
@@ -95,28 +95,28 @@
 	slices.SortFunc(due, func(a, b *engine) int { return cmp.Compare(a.id, b.id) })
 	hosts := d.cfg.Holders.Hosts()
 	for _, e := range due {
-		if host := fewest(hosts, e.holder.Host, load); host != "" {
+		if host := leastLoaded(hosts, e.holder.Host, engineCount); host != "" {
 			next[e.server] = HolderChange{From: e.holder.Host, To: Holder{Host: host, Settled: e.holder.Host == ""}}
-			load[host]++
+			engineCount[host]++
 		}
 	}
 	return next
 }
 
-func fewest(hosts []string, but string, load map[string]int) string {
+func leastLoaded(hosts []string, except string, engineCount map[string]int) string {
 	best := ""
 	for _, h := range hosts {
-		if h != but && (best == "" || load[h] < load[best]) {
+		if h != except && (best == "" || engineCount[h] < engineCount[best]) {
 			best = h
 		}
 	}
 	return best
 }
 
-// forgotten returns recorded engines of which a leader of long standing has not
-// heard.
-func (d *Driver) forgotten(now time.Time) []string {
-	if now.Sub(d.since) < forgetHolders {
+// staleServers returns the servers with a recorded order holder that are unknown to a leader
+// that has led for holderRetention.
+func (d *Driver) staleServers(now time.Time) []string {
+	if now.Sub(d.leaderSince) < holderRetention {
 		return nil
 	}
 	var out []string
@@ -133,13 +133,12 @@
 	return out
 }
 
-// assigned takes the outcome of a recording in. Where it is not known nothing
-// changes: the old holder goes on, or refuses by what it has applied, and the
-// recording is tried again.
-func (d *Driver) assigned(changes map[string]HolderChange, err error) {
+// handleRecorded applies the outcome of a recording. After an error nothing changes: the old
+// holder continues, or refuses by what it has applied, and the recording is tried again.
+func (d *Driver) handleRecorded(changes map[string]HolderChange, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.assigning = false
+	d.recordingHolders = false
 	now := d.cfg.Now()
 	d.cfg.Log.Info("order holders recorded", "engines", len(changes), "error", asynclog.ErrorText(err))
 	if err != nil {
@@ -147,24 +146,24 @@
 	}
 	for _, e := range d.engines {
 		if c, changed := changes[e.server]; changed {
-			d.hold(e, c, now)
+			d.applyHolder(e, c, now)
 		}
 	}
 }
 
-// hold goes on with the holder that is recorded, after a lease unless the change
-// is this leader's own and there was none before.
-func (d *Driver) hold(e *engine, c HolderChange, now time.Time) {
+// applyHolder adopts the recorded holder of an engine: after a lease, unless this leader made
+// the change and there was no holder before.
+func (d *Driver) applyHolder(e *engine, c HolderChange, now time.Time) {
 	recorded := d.cfg.Holders.Get(e.server)
 	if recorded != c.To || !c.To.Settled {
-		// What the old holder sent last may still arrive for leaseMargin.
-		e.ordersFrom = now.Add(d.cfg.OrderLease + leaseMargin)
-		d.leases[e.server] = e.ordersFrom
+		// The last order of the old holder may still arrive within leaseMargin.
+		e.ordersAllowedFrom = now.Add(d.cfg.OrderLease + leaseMargin)
+		d.ordersAllowedFrom[e.server] = e.ordersAllowedFrom
 		d.cfg.Log.Info("order holder replaced", "server", e.id, "from", c.From, "to", recorded.Host, "meant", c.To.Host,
-			"missed", e.missed, "orders-from-ms", (d.cfg.OrderLease + leaseMargin).Milliseconds())
+			"missed", e.unanswered, "orders-from-ms", (d.cfg.OrderLease + leaseMargin).Milliseconds())
 	}
 	if e.holder.Host != recorded.Host {
-		e.missed = 0
+		e.unanswered = 0
 	}
 	e.holder = recorded
 }
--- a/internal/loading/input.go
+++ b/internal/loading/input.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// Model is a model of a pool with what is known of its demand.
+// Model is a model of a pool and its demand.
 type Model struct {
 	Name      string
 	MemoryMB  float64
 	AdapterMB float64
-	// Load times by where the engine finds the weights.
+	// Load times by the location of the weights.
 	StoreLoadTime  time.Duration
 	DiskLoadTime   time.Duration
 	MemoryLoadTime time.Duration
-	// Rate is the number of requests a second that is expected in the seconds to
-	// come.
+	// Rate is the request rate, in 1/s, expected in the next seconds.
 	Rate float64
-	// PrefillTime is how long an engine reads one of its prompts; 0: not known.
+	// PrefillTime is how long an engine takes to read a prompt of the model; 0: unknown.
 	PrefillTime time.Duration
-	// RequestTime is how long an engine has one of its requests; 0: not known.
+	// RequestTime is how long a request of the model runs at an engine; 0: unknown.
 	RequestTime time.Duration
-	// LastRequested is when a request last came.
+	// LastRequested is when the last request arrived.
 	LastRequested time.Time
 	// Waiting is the number of requests that wait for a replica.
 	Waiting int
-	// Suspended is set while the model is not to be loaded, as engines ended under its loads.
+	// Suspended is set while the model must not be loaded because engines crashed under its
+	// loads.
 	Suspended bool
-	// Adapters are the names of its adapters, and AdapterRate the requests a second of
-	// those that are asked for.
+	// Adapters are the names of its adapters, and AdapterRate the request rates, in 1/s, of
+	// those with requests.
 	Adapters    []string
 	AdapterRate map[string]float64
 }
@@ -33,11 +33,13 @@
 // LoadedModel is a model in an engine's memory.
 type LoadedModel struct {
 	Model string
+	// Since is when the model was loaded. A leader sets it back for models that it first observes:
+	// see observedMinResidency.
 	Since time.Time
-	// InUse is set while requests for it are at the engine.
+	// InUse is set while requests for the model are at the engine.
 	InUse bool
-	// Adapters tells when each adapter was last asked for, and AdapterRuns which of
-	// them have requests at the engine.
+	// Adapters maps each loaded adapter to its last use, and AdapterInUse is set for those with
+	// requests at the engine.
 	Adapters     map[string]time.Time
 	AdapterInUse map[string]bool
 }
@@ -48,33 +50,32 @@
 	Loaded   []LoadedModel
 	InMemory map[string]bool
 	OnDisk   map[string]bool
-	// Busy is set while a model's order is under way or its outcome is not known.
+	// Busy is set while an order for a model is in progress or its outcome is unknown.
 	Busy bool
-	// Incoming is the model that the order under way loads or makes room for.
+	// Incoming is the model that the order in progress loads or makes room for.
 	Incoming string
-	// Unloading is the model that the order under way unloads.
+	// Unloading is the model that the order in progress unloads.
 	Unloading string
-	// FromStore is set while the load under way is from the weight store.
+	// FromStore is set while the load in progress is from the weight store.
 	FromStore bool
-	// RoomMadeFor is the model that room was made for a moment ago; "": none.
+	// RoomMadeFor is the model that the last order made room for; "": none.
 	RoomMadeFor string
-	// LateLoads are the models, and adapters, that orders to earlier starts of the server may
-	// yet bring. They must have room, or the engine ends.
+	// LateLoads are the models and adapters that orders to earlier incarnations of the server
+	// may still load. They need room, or the engine crashes.
 	LateLoads []ModelRef
 }
 
-// ModelRef is an adapter that requests wait for, or that may come; without Adapter
-// the model itself.
+// ModelRef names an adapter of a model, or the model itself if Adapter is empty.
 type ModelRef struct {
 	Model   string
 	Adapter string
 }
 
-// Input is what Decide decides from; it is not changed.
+// Input is the input of Decide, which does not change it.
 type Input struct {
 	Now time.Time
-	// MemoryMB and Places are each engine's memory and places for adapters, and Slots
-	// how many requests it works on at once; 0: not known.
+	// MemoryMB and AdapterSlots are the memory and the adapter slots of each engine, and Slots
+	// the number of requests that it runs concurrently; 0: unknown.
 	MemoryMB        float64
 	AdapterSlots    int
 	Slots           int
@@ -83,29 +84,28 @@
 	WaitingAdapters []ModelRef
 	// StoreLoadsAllowed is how many loads from the weight store may begin now.
 	StoreLoadsAllowed int
-	// StoreConcurrency is how many the store is taken to serve at full speed.
+	// StoreConcurrency is how many loads the store is assumed to serve at full speed.
 	StoreConcurrency int
-	// StoreLoadsRunning is how many are under way.
+	// StoreLoadsRunning is how many loads from the store are in progress.
 	StoreLoadsRunning int
 }
 
 //go:generate go tool stringer -type=Reason -linecomment
 
-// Reason is why an order is given.
+// Reason is the reason of an order.
 type Reason int
 
 // The reasons of orders.
 const (
-	// ReasonWaiting: callers wait for a model that no engine has.
+	// ReasonWaiting: requests wait for a model that no engine has.
 	ReasonWaiting Reason = iota // waiting
 	// ReasonBusy: the replicas of a model have too many requests.
 	ReasonBusy // busy
-	// ReasonStock: there are too few copies of a model, or an adapter is loaded
-	// ahead.
+	// ReasonStock: a model has too few copies, or an adapter is preloaded.
 	ReasonStock // stock
 )
 
-// Action is one order to give.
+// Action is an order to send.
 type Action struct {
 	Reason  Reason
 	Engine  string
@@ -114,17 +114,17 @@
 	Adapter string
 	// RoomFor is the model that an unload makes room for.
 	RoomFor string
-	// FromStore is set for a load that the weight store will serve.
+	// FromStore is set for a load from the weight store.
 	FromStore bool
 }
 
-// Blocked is a model that lacks a replica and can't be given one now, with the
-// number of engines that are ruled out for each reason.
+// Blocked is a model that needs a replica and can't be loaded now, with the number of engines
+// excluded for each reason.
 type Blocked struct {
 	Model string
 	Rate  float64
-	// Busy engines have another order under way, Holding ones have none and hold the
-	// model, at Full ones nothing may go for it, and Store ones would load it from the
-	// weight store, whose pace is used up.
+	// Busy engines have another order in progress, Loaded ones have the model, at Full ones
+	// nothing may be unloaded for it, and StoreLimited ones would load it from the weight
+	// store, whose rate limit is used up.
 	Busy, Loaded, Full, StoreLimited int
 }
--- a/internal/loading/late.go
+++ b/internal/loading/late.go
@@ -7,108 +7,109 @@
 	"fennelyard/internal/incarnation"
 )
 
-// orderFlight is how long after an order left it may still be carried out: engines take
-// up to 12 s over one whose answer is lost, and it has orderWait to leave.
-const orderFlight = 12*time.Second + orderWait
+// orderMaxDelay is how long after an order was sent it may still be executed: engines take up
+// to 12 s over one whose reply is lost, and sending may take orderTimeout.
+const orderMaxDelay = 12*time.Second + orderTimeout
 
-// sentLoad is a load whose outcome is not known. An engine checks an order against the
-// number of those that it has taken. That number begins anew with a start under the same
-// id, so that an order to the start before that had no answer fits the next once it has
-// taken as many. What it brings must have room then: an engine that is ordered to hold
-// more than fits ends, with all its answers.
+// sentLoad is a load with an unknown outcome. An engine checks an order against the number of
+// orders that it has taken. That number restarts with each incarnation under the same id, so an
+// order to an earlier incarnation that got no reply matches the next one once it has taken as
+// many. Its load must have room then: an engine that is ordered to load more than fits crashes
+// and aborts all its requests.
 type sentLoad struct {
 	model, adapter string
 	at             time.Time
 }
 
-// recent drops what can no longer be carried out.
-func recent(loads []sentLoad, now time.Time) []sentLoad {
-	return slices.DeleteFunc(loads, func(l sentLoad) bool { return now.Sub(l.at) > orderFlight })
+// dropExpired removes the loads that can no longer be executed.
+func dropExpired(loads []sentLoad, now time.Time) []sentLoad {
+	return slices.DeleteFunc(loads, func(l sentLoad) bool { return now.Sub(l.at) > orderMaxDelay })
 }
 
-// doubt notes that the order under way may still be carried out, whatever comes of
-// orders that follow it.
-func (e *engine) doubt(now time.Time) {
+// recordUnconfirmed records that the order in progress may still be executed, whatever becomes
+// of later orders.
+func (e *engine) recordUnconfirmed(now time.Time) {
 	if e.order.Load {
-		e.unproved = append(recent(e.unproved, now), sentLoad{e.order.Model, e.order.Adapter, now})
+		e.unconfirmed = append(dropExpired(e.unconfirmed, now), sentLoad{e.order.Model, e.order.Adapter, now})
 	}
 }
 
-// leave returns the loads that may be carried out by the server's next start.
-func (e *engine) leave(now time.Time) []sentLoad {
-	if e.phase == phaseGiving {
-		e.doubt(now)
+// outstandingLoads returns the loads that the server's next incarnation may execute.
+func (e *engine) outstandingLoads(now time.Time) []sentLoad {
+	if e.phase == phaseSending {
+		e.recordUnconfirmed(now)
 	}
-	return slices.Concat(recent(e.late, now), recent(e.unproved, now))
+	return slices.Concat(dropExpired(e.lateLoads, now), dropExpired(e.unconfirmed, now))
 }
 
-// keepLate keeps what may be carried out by the next start of an engine that is gone.
-func (d *Driver) keepLate(e *engine, now time.Time) {
-	for server, loads := range d.late {
-		if d.late[server] = recent(loads, now); len(d.late[server]) == 0 {
-			delete(d.late, server)
+// retainLateLoads stores the loads that the next incarnation of an engine that is gone may
+// execute.
+func (d *Driver) retainLateLoads(e *engine, now time.Time) {
+	for server, loads := range d.lateLoads {
+		if d.lateLoads[server] = dropExpired(loads, now); len(d.lateLoads[server]) == 0 {
+			delete(d.lateLoads, server)
 		}
 	}
-	if loads := e.leave(now); len(loads) > 0 {
-		d.late[e.server] = append(d.late[e.server], loads...)
+	if loads := e.outstandingLoads(now); len(loads) > 0 {
+		d.lateLoads[e.server] = append(d.lateLoads[e.server], loads...)
 	}
 }
 
-// add takes an engine in that is new.
-func (d *Driver) add(e *engine, now time.Time) {
-	d.succeed(e, now)
+// addEngine adds a new engine.
+func (d *Driver) addEngine(e *engine, now time.Time) {
+	d.inheritLateLoads(e, now)
 	d.engines[e.id] = e
-	d.starts[e.server]++
+	d.incarnationCounts[e.server]++
 }
 
-// remove leaves an engine out.
-func (d *Driver) remove(e *engine) {
+// removeEngine removes an engine.
+func (d *Driver) removeEngine(e *engine) {
 	delete(d.engines, e.id)
-	if d.starts[e.server]--; d.starts[e.server] <= 0 {
-		delete(d.starts, e.server)
+	if d.incarnationCounts[e.server]--; d.incarnationCounts[e.server] <= 0 {
+		delete(d.incarnationCounts, e.server)
 	}
 }
 
-// succeed takes over what may be carried out late at an engine that is new.
-func (d *Driver) succeed(e *engine, now time.Time) {
-	e.late = recent(d.late[e.server], now)
-	delete(d.late, e.server)
-	if d.starts[e.server] > 0 {
+// inheritLateLoads takes over the loads that may be executed late at a new engine.
+func (d *Driver) inheritLateLoads(e *engine, now time.Time) {
+	e.lateLoads = dropExpired(d.lateLoads[e.server], now)
+	delete(d.lateLoads, e.server)
+	if d.incarnationCounts[e.server] > 0 {
 		for _, old := range d.engines {
 			if old.server == e.server {
-				e.late = append(e.late, old.leave(now)...)
+				e.lateLoads = append(e.lateLoads, old.outstandingLoads(now)...)
 			}
 		}
 	}
-	if d.mayFollowStart(e, now) {
-		e.unheard = d.since.Add(orderFlight)
+	if d.mayReceiveEarlierOrders(e, now) {
+		e.earlierOrdersUntil = d.leaderSince.Add(orderMaxDelay)
 	}
-	if len(e.late) > 0 || !e.unheard.IsZero() {
-		d.cfg.Log.Info("late orders possible", "server", e.id, "loads", len(e.late), "unheard", !e.unheard.IsZero())
+	if len(e.lateLoads) > 0 || !e.earlierOrdersUntil.IsZero() {
+		d.cfg.Log.Info("late orders possible", "server", e.id, "loads", len(e.lateLoads), "unheard", !e.earlierOrdersUntil.IsZero())
 	}
 }
 
-// clockSlack is how far a server's clock may be from this host's: clocks are seen to jump
-// by two to three seconds.
-const clockSlack = 5 * time.Second
+// maxClockSkew is the assumed maximal difference between a server's clock and this host's:
+// clocks jump by two to three seconds.
+const maxClockSkew = 5 * time.Second
 
-// mayFollowStart reports whether an engine started so short a while ago that orders of
-// an earlier leader to a start before may still come. What that leader gave is not known,
-// and neither is whether there was such a start: it may be recorded no longer.
-func (d *Driver) mayFollowStart(e *engine, now time.Time) bool {
-	born := incarnation.Parse(e.id).StartMs
-	if !d.leads || d.term == firstTerm || now.Sub(d.since) > orderFlight || born == 0 {
+// mayReceiveEarlierOrders reports whether an engine started so recently that orders of an
+// earlier leader to an earlier incarnation may still arrive. The orders of that leader are not
+// known, nor whether there was such an incarnation: its record may be gone.
+func (d *Driver) mayReceiveEarlierOrders(e *engine, now time.Time) bool {
+	startMs := incarnation.Parse(e.id).StartMs
+	if !d.isLeader || d.term == firstTerm || now.Sub(d.leaderSince) > orderMaxDelay || startMs == 0 {
 		return false
 	}
-	return now.Sub(time.UnixMilli(born)) < orderFlight+clockSlack
+	return now.Sub(time.UnixMilli(startMs)) < orderMaxDelay+maxClockSkew
 }
 
-// lateLoads returns the models and adapters that may yet come to an engine by orders to
-// earlier starts.
-func (e *engine) lateLoads(now time.Time) []ModelRef {
-	e.late = recent(e.late, now)
+// lateModels returns the models and adapters that orders to earlier incarnations may still load
+// at an engine.
+func (e *engine) lateModels(now time.Time) []ModelRef {
+	e.lateLoads = dropExpired(e.lateLoads, now)
 	var out []ModelRef
-	for _, l := range e.late {
+	for _, l := range e.lateLoads {
 		if x := (ModelRef{Model: l.model, Adapter: l.adapter}); !slices.Contains(out, x) {
 			out = append(out, x)
 		}
--- a/internal/loading/late_test.go
+++ b/internal/loading/late_test.go
@@ -11,11 +11,11 @@
 	"fennelyard/internal/loading"
 )
 
-// An engine has started again, and loads that were ordered of the start before may yet
-// be carried out. An engine that holds more than fits ends, with every answer that it is
-// at: what may come has its room, and what it may bring back is not given up for another.
-func TestRoomIsKeptForLateLoads(t *testing.T) {
-	late := func(e *loading.Engine, x ...loading.ModelRef) *loading.Engine {
+// An engine has restarted, and loads that were ordered of the previous incarnation may still be
+// executed. An engine that loads more than fits crashes with all its requests: late loads have
+// reserved room, and models that they may load again are not unloaded for others.
+func TestRoomIsReservedForLateLoads(t *testing.T) {
+	withLate := func(e *loading.Engine, x ...loading.ModelRef) *loading.Engine {
 		e.LateLoads = x
 		return e
 	}
@@ -28,7 +28,7 @@
 		}
 		return e
 	}
-	wantsAdapter := func(e *loading.Engine) loading.Input {
+	withWaitingAdapter := func(e *loading.Engine) loading.Input {
 		in := input([]*loading.Model{model("a", nil)}, e)
 		in.WaitingAdapters = []loading.ModelRef{{Model: "a", Adapter: "a8"}}
 		return in
@@ -37,11 +37,11 @@
 		in    loading.Input
 		loads bool
 	}{
-		"nothing is late":                   {input(models, engine("e1", "a")), true},
-		"a late model takes the room":       {input(models, late(engine("e1", "a"), modelC)), false},
-		"a late model that is there":        {input(models, late(engine("e1", "a"), loading.ModelRef{Model: "a"})), true},
-		"the last place is free":            {wantsAdapter(full()), true},
-		"a late adapter has the last place": {wantsAdapter(late(full(), a9)), false},
+		"nothing is late":                       {input(models, engine("e1", "a")), true},
+		"a late model takes the room":           {input(models, withLate(engine("e1", "a"), modelC)), false},
+		"a late model that is loaded":           {input(models, withLate(engine("e1", "a"), loading.ModelRef{Model: "a"})), true},
+		"the last slot is free":                 {withWaitingAdapter(full()), true},
+		"a late adapter reserves the last slot": {withWaitingAdapter(withLate(full(), a9)), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			actions, _ := loading.Decide(x.in)
@@ -52,16 +52,17 @@
 			require.Equal(t, x.loads, loads, "%+v", actions)
 		})
 	}
-	twice := late(engine("e1", "a", "c"), loading.ModelRef{Model: "a"}, modelC)
+	twice := withLate(engine("e1", "a", "c"), loading.ModelRef{Model: "a"}, modelC)
 	actions, _ := loading.Decide(input(models, twice))
 	require.Empty(t, actions)
 }
 
-// An order to a start of an engine is held up on its way to the order holder. Meanwhile
-// one to the next start has gone. The engine would see its leader's orders run backwards.
-func TestHeldUpOrderDoesNotFollowOneToTheNextStart(t *testing.T) {
+// An order to an incarnation of an engine is delayed on its way to the order holder, and one to
+// the next incarnation is sent meanwhile. The engine would receive its leader's orders in
+// reverse.
+func TestDelayedOrderToEarlierIncarnationIsNotSent(t *testing.T) {
 	sent := 0
-	h := loading.NewSender(loading.SenderConfig{
+	s := loading.NewSender(loading.SenderConfig{
 		CatchUp:  func(context.Context) (uint64, error) { return 2, nil },
 		IsHolder: func(string) bool { return true },
 		SendOrder: func(context.Context, string, loading.Order) (loading.Outcome, error) {
@@ -70,9 +71,9 @@
 		},
 		Now: time.Now, Log: logr.Discard(),
 	})
-	_, err := h.Send(context.Background(), 2, "a:1", loading.Order{Server: "e1@2000", FencingToken: 16})
+	_, err := s.Send(context.Background(), 2, "a:1", loading.Order{Server: "e1@2000", FencingToken: 16})
 	require.NoError(t, err)
-	_, err = h.Send(context.Background(), 2, "a:1", loading.Order{Server: "e1@1000", FencingToken: 11})
+	_, err = s.Send(context.Background(), 2, "a:1", loading.Order{Server: "e1@1000", FencingToken: 11})
 	require.ErrorIs(t, err, loading.ErrNotSent)
 	require.Equal(t, 1, sent)
 }
--- a/internal/loading/plan_test.go
+++ b/internal/loading/plan_test.go
@@ -13,7 +13,8 @@
 
 var now = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// model is 30 GB, loads in 6 s from the store, 0.5 s from disk, 0.4 from memory.
+// model returns a model of 30 GB that loads in 6 s from the store, 0.5 s from disk and 0.4 s
+// from memory.
 func model(name string, change func(*loading.Model)) *loading.Model {
 	m := &loading.Model{
 		Name: name, MemoryMB: 30000, AdapterMB: 40, StoreLoadTime: 6 * time.Second,
@@ -25,9 +26,9 @@
 	return m
 }
 
-func engine(id string, held ...string) *loading.Engine {
+func engine(id string, loaded ...string) *loading.Engine {
 	e := &loading.Engine{ID: id, InMemory: map[string]bool{}, OnDisk: map[string]bool{}}
-	for _, name := range held {
+	for _, name := range loaded {
 		e.Loaded = append(e.Loaded, loading.LoadedModel{Model: name, Since: now.Add(-time.Hour), Adapters: map[string]time.Time{}})
 		e.OnDisk[name] = true
 	}
@@ -47,8 +48,8 @@
 	return func(m *loading.Model) { m.Rate, m.LastRequested = r, now }
 }
 
-// served is a model whose prompts are short and whose requests run for a second.
-func served(r float64) func(*loading.Model) {
+// shortRequests sets a request rate with short prompts and requests that run for a second.
+func shortRequests(r float64) func(*loading.Model) {
 	return func(m *loading.Model) {
 		m.Rate, m.LastRequested, m.PrefillTime, m.RequestTime = r, now, time.Millisecond, time.Second
 	}
@@ -60,14 +61,14 @@
 	ordered := engine("e1")
 	ordered.Busy, ordered.Incoming, ordered.FromStore = true, "m", true
 	full := engine("e1", "hot", "old")
-	young := engine("e1", "a", "b")
-	young.Loaded[0].Since, young.Loaded[1].Since = now, now
+	recentlyLoaded := engine("e1", "a", "b")
+	recentlyLoaded.Loaded[0].Since, recentlyLoaded.Loaded[1].Since = now, now
 	running := engine("e1", "other")
 	running.Loaded[0].InUse = true
 	running.OnDisk["m"] = true
 	small := input(nil).MemoryMB - 45000
 	onlyCopy, twoCopies := engine("e1"), engine("e2")
-	onlyCopy.OnDisk["asked"] = true
+	onlyCopy.OnDisk["cold"] = true
 	twoCopies.OnDisk["known"], onlyCopy.OnDisk["known"] = true, true
 	withAdapters := engine("e1", "m")
 	for i := range 8 {
@@ -81,23 +82,23 @@
 			input([]*loading.Model{model("m", waiting), model("other", nil)}, engine("e1", "other"), onDisk),
 			[]loading.Action{{Engine: "e2", Load: true, Model: "m"}},
 		},
-		"one decision for a burst": {
+		"an incoming model is not loaded again": {
 			input([]*loading.Model{model("m", waiting)}, ordered, engine("e2")),
 			nil,
 		},
-		"a rare model is owed nothing while nobody waits": {
+		"a rare model needs no replica while no request waits": {
 			input([]*loading.Model{model("m", busy(0.1)), model("other", nil)}, engine("e1", "other"), onDisk),
 			nil,
 		},
-		"makes room by what was not asked for the longest": {
+		"unloads the least recently requested model": {
 			input([]*loading.Model{model("m", waiting), model("hot", busy(1)), model("old", nil)}, full),
 			[]loading.Action{{Engine: "e1", Model: "old", RoomFor: "m"}},
 		},
-		"a model that was loaded just now stays": {
-			input([]*loading.Model{model("m", waiting), model("a", nil), model("b", nil)}, young),
+		"a recently loaded model is not unloaded": {
+			input([]*loading.Model{model("m", waiting), model("a", nil), model("b", nil)}, recentlyLoaded),
 			nil,
 		},
-		"a model with requests at the engine stays": {
+		"a model in use is not unloaded": {
 			func() loading.Input {
 				in := input([]*loading.Model{model("m", waiting), model("other", nil)}, running)
 				in.MemoryMB = small
@@ -105,8 +106,8 @@
 			}(),
 			nil,
 		},
-		"a load from the store keeps clear of an engine that others are brought back to": {
-			input([]*loading.Model{model("m", waiting), model("asked", busy(0.2)), model("known", busy(0.2))}, onlyCopy, twoCopies),
+		"a store load avoids an engine with the only copy of another model": {
+			input([]*loading.Model{model("m", waiting), model("cold", busy(0.2)), model("known", busy(0.2))}, onlyCopy, twoCopies),
 			[]loading.Action{{Engine: "e2", Load: true, Model: "m", FromStore: true}},
 		},
 		"a busy model gets another replica": {
@@ -117,26 +118,26 @@
 			func() loading.Input {
 				e1, e2, e3 := engine("e1", "m"), engine("e2", "hot"), engine("e3")
 				e2.OnDisk["m"], e3.OnDisk["m"] = true, true
-				in := input([]*loading.Model{model("m", served(40)), model("hot", served(20))}, e1, e2, e3)
+				in := input([]*loading.Model{model("m", shortRequests(40)), model("hot", shortRequests(20))}, e1, e2, e3)
 				in.Slots = 48
 				return in
 			}(),
 			[]loading.Action{{Reason: loading.ReasonBusy, Engine: "e3", Load: true, Model: "m"}},
 		},
-		"replicas beside another busy model count for what they have": {
+		"a replica beside another busy model counts by its share of slots": {
 			func() loading.Input {
-				in := input([]*loading.Model{model("m", served(22)), model("hot", served(22))}, engine("e1", "m", "hot"), engine("e2"))
+				in := input([]*loading.Model{model("m", shortRequests(22)), model("hot", shortRequests(22))}, engine("e1", "m", "hot"), engine("e2"))
 				in.Engines[1].OnDisk["m"], in.Engines[1].OnDisk["hot"] = true, true
 				in.Slots = 48
 				return in
 			}(),
 			[]loading.Action{{Reason: loading.ReasonBusy, Engine: "e2", Load: true, Model: "hot"}},
 		},
-		"a model of which there is no copy is loaded for stock": {
+		"a model without a copy is preloaded": {
 			input([]*loading.Model{model("m", nil)}, engine("e1")),
 			[]loading.Action{{Reason: loading.ReasonStock, Engine: "e1", Load: true, Model: "m", FromStore: true}},
 		},
-		"room that was made for a model is not given back": {
+		"room made for a model is used for it": {
 			func() loading.Input {
 				e := engine("e1", "hot")
 				e.RoomMadeFor, e.OnDisk["old"], e.OnDisk["m"] = "m", true, true
@@ -148,7 +149,7 @@
 			}(),
 			[]loading.Action{{Engine: "e1", Load: true, Model: "m"}},
 		},
-		"the store's pace binds": {
+		"the store's rate limit is respected": {
 			func() loading.Input {
 				in := input([]*loading.Model{model("m", waiting)}, engine("e1"))
 				in.StoreLoadsAllowed = 0
@@ -156,7 +157,7 @@
 			}(),
 			nil,
 		},
-		"an adapter takes the place of the one not asked for the longest": {
+		"an adapter replaces the least recently used one": {
 			func() loading.Input {
 				in := input([]*loading.Model{model("m", busy(1))}, withAdapters)
 				in.WaitingAdapters = []loading.ModelRef{{Model: "m", Adapter: "a9"}}
@@ -164,7 +165,7 @@
 			}(),
 			[]loading.Action{{Engine: "e1", Model: "m", Adapter: "a0", RoomFor: "m"}},
 		},
-		"an adapter with a free place goes before the load of another model": {
+		"an adapter with a free slot precedes the load of another model": {
 			func() loading.Input {
 				in := input([]*loading.Model{model("m", busy(1)), model("other", waiting)}, engine("e1", "m"))
 				in.WaitingAdapters = []loading.ModelRef{{Model: "m", Adapter: "a9"}}
@@ -172,7 +173,7 @@
 			}(),
 			[]loading.Action{{Engine: "e1", Load: true, Model: "m", Adapter: "a9"}},
 		},
-		"an adapter that another must go for comes after the load of another model": {
+		"an adapter without a free slot follows the load of another model": {
 			func() loading.Input {
 				in := input([]*loading.Model{model("m", busy(1)), model("other", waiting)}, withAdapters)
 				in.WaitingAdapters = []loading.ModelRef{{Model: "m", Adapter: "a9"}}
@@ -180,7 +181,7 @@
 			}(),
 			[]loading.Action{{Engine: "e1", Load: true, Model: "other", FromStore: true}},
 		},
-		"an adapter with requests is not dropped for another": {
+		"an adapter in use is not unloaded": {
 			func() loading.Input {
 				e := engine("e1", "m")
 				for i := range 8 {
@@ -193,7 +194,7 @@
 			}(),
 			[]loading.Action{{Engine: "e1", Model: "m", Adapter: "a2", RoomFor: "m"}},
 		},
-		"a busy model's new replica takes the adapters that are asked for most": {
+		"a new replica preloads the adapter with the highest request rate": {
 			func() loading.Input {
 				first := engine("e1", "m")
 				first.Loaded[0].Adapters["a1"], first.Loaded[0].Adapters["a2"] = now, now
@@ -205,7 +206,7 @@
 			}(),
 			[]loading.Action{{Reason: loading.ReasonStock, Engine: "e2", Load: true, Model: "m", Adapter: "a2"}},
 		},
-		"free places take adapters of busy models ahead": {
+		"free slots preload adapters of busy models": {
 			input([]*loading.Model{model("m", func(m *loading.Model) {
 				busy(1)(m)
 				m.Adapters = []string{"a1"}
@@ -220,7 +221,7 @@
 	}
 }
 
-func TestDecideTellsWhyALoadIsBlocked(t *testing.T) {
+func TestDecideReportsBlockedLoads(t *testing.T) {
 	busyEngine := engine("e1")
 	busyEngine.Busy = true
 	in := input([]*loading.Model{model("m", waiting), model("hot", busy(1)), model("warm", busy(1))},
@@ -231,8 +232,8 @@
 	require.Equal(t, loading.Blocked{Model: "m", Busy: 1, Full: 1}, blocked[0])
 }
 
-// Whatever is asked for, no engine is ever ordered to hold more than fits, none
-// gets a second order while one is under way, and the store's pace holds.
+// For any input, no engine is ordered to load more than fits, none gets a second order while
+// one is in progress, and the store's limit on loads is respected.
 func TestDecideKeepsBounds(t *testing.T) {
 	for seed := range uint64(2000) {
 		r := rand.New(rand.NewPCG(seed, 7))
@@ -241,7 +242,7 @@
 		for _, e := range in.Engines {
 			engines[e.ID] = e
 		}
-		stores := 0
+		storeLoads := 0
 		actions, _ := loading.Decide(in)
 		seen := map[string]bool{}
 		for _, a := range actions {
@@ -249,15 +250,15 @@
 			require.False(t, seen[a.Engine] || e.Busy, "seed %d: two orders for %s", seed, a.Engine)
 			seen[a.Engine] = true
 			if a.FromStore {
-				stores++
+				storeLoads++
 			}
 			if !a.Load {
 				continue
 			}
 			sum, adapters := 0.0, 0
-			for _, h := range e.Loaded {
-				sum += models[h.Model].MemoryMB + 40*float64(len(h.Adapters))
-				adapters += len(h.Adapters)
+			for _, l := range e.Loaded {
+				sum += models[l.Model].MemoryMB + 40*float64(len(l.Adapters))
+				adapters += len(l.Adapters)
 			}
 			if a.Adapter != "" {
 				require.Less(t, adapters, in.AdapterSlots, "seed %d", seed)
@@ -265,9 +266,9 @@
 			} else {
 				sum += models[a.Model].MemoryMB
 			}
-			require.LessOrEqual(t, sum, in.MemoryMB, "seed %d: %s holds too much", seed, a.Engine)
+			require.LessOrEqual(t, sum, in.MemoryMB, "seed %d: %s has too much loaded", seed, a.Engine)
 		}
-		require.LessOrEqual(t, stores, in.StoreLoadsAllowed, "seed %d", seed)
+		require.LessOrEqual(t, storeLoads, in.StoreLoadsAllowed, "seed %d", seed)
 	}
 }
 
@@ -289,11 +290,11 @@
 		for _, m := range models {
 			if m.MemoryMB <= free && r.IntN(3) == 0 {
 				free -= m.MemoryMB
-				h := loading.LoadedModel{Model: m.Name, Since: now.Add(-time.Duration(r.IntN(5)) * time.Second), Adapters: map[string]time.Time{}}
+				l := loading.LoadedModel{Model: m.Name, Since: now.Add(-time.Duration(r.IntN(5)) * time.Second), Adapters: map[string]time.Time{}}
 				if r.IntN(3) == 0 {
-					h.Adapters["a1"] = now
+					l.Adapters["a1"] = now
 				}
-				e.Loaded = append(e.Loaded, h)
+				e.Loaded = append(e.Loaded, l)
 			}
 			e.OnDisk[m.Name] = r.IntN(2) == 0
 		}
@@ -306,9 +307,9 @@
 	return in
 }
 
-// BenchmarkDecide decides for as many engines and models as deployments in use
-// have, a tenth of which are waited for and can't all be loaded; and once where all
-// models are asked for.
+// BenchmarkDecide measures decisions for as many engines and models as real deployments have,
+// with a tenth of the models waited for and not all loadable; and once with requests for all
+// models.
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []struct {
 		engines, models int
@@ -319,7 +320,7 @@
 			name += "-busy"
 		}
 		b.Run(name, func(b *testing.B) {
-			in := crowded(size.engines, size.models)
+			in := crowdedInput(size.engines, size.models)
 			if size.busy {
 				in.Slots = 12
 				for _, m := range in.Models {
@@ -333,9 +334,9 @@
 	}
 }
 
-// crowded is a fleet that has models in two places of each engine and lacks a tenth
-// of those that callers wait for, while four engines of five have an order.
-func crowded(engines, models int) loading.Input {
+// crowdedInput returns a fleet with two models loaded at each engine. A tenth of all models have
+// waiting requests and are loaded at none, and four of five engines have an order in progress.
+func crowdedInput(engines, models int) loading.Input {
 	r := rand.New(rand.NewPCG(1, 7))
 	var list []*loading.Model
 	for i := range models {
@@ -349,8 +350,8 @@
 	in := input(list)
 	in.StoreLoadsAllowed = 0
 	for i := range engines {
-		held := func(i int) string { return fmt.Sprint("m", models/10+i%(models-models/10)) }
-		e := engine(fmt.Sprint("e", i), held(i), held(i+30))
+		loaded := func(i int) string { return fmt.Sprint("m", models/10+i%(models-models/10)) }
+		e := engine(fmt.Sprint("e", i), loaded(i), loaded(i+30))
 		e.Busy = i%5 != 0
 		for range 12 {
 			e.OnDisk[fmt.Sprint("m", r.IntN(models))] = true
--- a/internal/loading/pool.go
+++ b/internal/loading/pool.go
@@ -6,25 +6,24 @@
 	"fennelyard/internal/schema"
 )
 
-// pool is a pool of engines that the configuration in force names.
+// pool is an engine pool of the active configuration.
 type pool struct {
 	name string
-	// from is the record that the rest was made from; it is never changed.
-	from *schema.Pool
-	spec *schema.EngineSpec
-	// models are by name, without what is known of their demand.
+	// record is the record that the pool was built from; it is never changed.
+	record *schema.Pool
+	spec   *schema.EngineSpec
+	// models are the models by name, without their demand.
 	models map[string]*Model
 }
 
-// poolsOf returns the engine pools by name. Those whose records are the same as
-// before are taken over: a configuration is looked at many times a second and
-// names hundreds of models.
-func poolsOf(records []*schema.Pool, before map[string]*pool) map[string]*pool {
+// updatePools returns the engine pools by name. Pools with an unchanged record are reused: the
+// configuration is read many times per second and has hundreds of models.
+func updatePools(records []*schema.Pool, before map[string]*pool) map[string]*pool {
 	out := map[string]*pool{}
 	for _, r := range records {
 		switch old := before[r.GetName()]; {
 		case r.GetEngine() == nil:
-		case old != nil && old.from == r:
+		case old != nil && old.record == r:
 			out[r.GetName()] = old
 		default:
 			out[r.GetName()] = newPool(r)
@@ -34,7 +33,7 @@
 }
 
 func newPool(r *schema.Pool) *pool {
-	p := &pool{name: r.GetName(), from: r, spec: r.GetEngine(), models: map[string]*Model{}}
+	p := &pool{name: r.GetName(), record: r, spec: r.GetEngine(), models: map[string]*Model{}}
 	for _, s := range p.spec.GetModels() {
 		p.models[s.GetName()] = &Model{
 			Name: s.GetName(), MemoryMB: s.GetMemoryMb(), AdapterMB: s.GetAdapterMb(),
--- a/internal/loading/recall_test.go
+++ b/internal/loading/restore_test.go
@@ -16,14 +16,14 @@
 	"fennelyard/internal/schema"
 )
 
-// A host begins to lead before 240 engines, of which it knows from the log and by their
-// first words. It asks each what it holds, a few at a time: a host that asks all at once
-// does not come to say that it leads, is taken for lost, and the next one does the same.
-func TestNewLeaderAsksAFewEnginesAtATime(t *testing.T) {
+// A new leader has 240 engines, known from the log and by their first announcements. It must
+// query them for their reports a few at a time: a host that queries all at once does not get to
+// send its heartbeats, loses its leadership, and the next leader does the same.
+func TestNewLeaderLimitsConcurrentQueries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const engines, answer = 240, 20 * time.Millisecond
+		const engines, replyTime = 240, 20 * time.Millisecond
 		var mu sync.Mutex
-		asked, atOnce, most := map[string]int{}, 0, 0
+		queried, concurrent, maxConcurrent := map[string]int{}, 0, 0
 		r := roster.New(roster.Config{
 			AnnounceEvery: time.Second, Departed: func(string) bool { return false }, Now: time.Now, Log: logr.Discard(),
 		})
@@ -36,14 +36,14 @@
 			},
 			FetchReport: func(_ context.Context, _, server string) (loading.Report, error) {
 				mu.Lock()
-				asked[server]++
-				atOnce++
-				most = max(most, atOnce)
+				queried[server]++
+				concurrent++
+				maxConcurrent = max(maxConcurrent, concurrent)
 				mu.Unlock()
-				time.Sleep(answer)
+				time.Sleep(replyTime)
 				mu.Lock()
 				defer mu.Unlock()
-				atOnce--
+				concurrent--
 				return loading.Report{}, nil
 			},
 			Roster: r,
@@ -55,7 +55,7 @@
 				return out
 			},
 			Pools:      func() []*schema.Pool { return []*schema.Pool{{Name: "llm", Engine: &schema.EngineSpec{MemoryMb: 1}}} },
-			OrderLease: lease, LoadWindow: 5 * time.Second, Now: time.Now, Log: logr.Discard(),
+			OrderLease: orderLease, LoadWindow: 5 * time.Second, Now: time.Now, Log: logr.Discard(),
 		})
 		defer d.Stop()
 		d.RefreshLeadership()
@@ -68,11 +68,11 @@
 		took := await(t, func() bool {
 			mu.Lock()
 			defer mu.Unlock()
-			return len(asked) == engines
+			return len(queried) == engines
 		})
 		require.Less(t, took, 4*time.Second)
 		require.Greater(t, took, 2*time.Second)
-		require.LessOrEqual(t, most, 24)
-		require.GreaterOrEqual(t, most, 12)
+		require.LessOrEqual(t, maxConcurrent, 24)
+		require.GreaterOrEqual(t, maxConcurrent, 12)
 	})
 }
--- a/internal/loading/room.go
+++ b/internal/loading/room.go
@@ -7,60 +7,60 @@
 )
 
 const (
-	// minHold keeps a model for a moment after its load: demand for two models
-	// could otherwise push them out of one engine in turns, and neither is served.
-	minHold = 2 * time.Second
-	// askedGuard keeps a model that was asked for a moment ago: a request that its
-	// entry has not reported yet may be on its way to the engine.
-	askedGuard = 400 * time.Millisecond
+	// minResidency is how long a model stays after its load: demand for two models could
+	// otherwise evict each from the same engine in turns, and neither would be served.
+	minResidency = 2 * time.Second
+	// recentRequestGuard keeps a model with a recent request: a request that its entry has not
+	// reported yet may be on its way to the engine.
+	recentRequestGuard = 400 * time.Millisecond
 )
 
-func holds(e *Engine, model string) bool {
-	return slices.ContainsFunc(e.Loaded, func(h LoadedModel) bool { return h.Model == model })
+func hasModel(e *Engine, model string) bool {
+	return slices.ContainsFunc(e.Loaded, func(l LoadedModel) bool { return l.Model == model })
 }
 
-// used returns the memory that an engine's models take.
-func (p *plan) used(e *Engine) float64 {
+// usedMemory returns the memory that an engine's models use.
+func (p *plan) usedMemory(e *Engine) float64 {
 	var sum float64
-	for _, h := range e.Loaded {
-		sum += p.sizeOf(h.Model)
+	for _, l := range e.Loaded {
+		sum += p.modelMemory(l.Model)
 	}
 	return sum
 }
 
-// freeMemory returns the memory that models may be loaded into: what is left beside
-// those that are there and those that late orders may bring.
+// freeMemory returns the memory available for models, beside the loaded ones and late loads.
 func (p *plan) freeMemory(e *Engine) float64 {
-	free := p.in.MemoryMB - p.reserved - p.used(e)
+	free := p.in.MemoryMB - p.adapterReserve - p.usedMemory(e)
 	for _, l := range e.LateLoads {
-		if l.Adapter == "" && !holds(e, l.Model) {
-			free -= p.sizeOf(l.Model)
+		if l.Adapter == "" && !hasModel(e, l.Model) {
+			free -= p.modelMemory(l.Model)
 		}
 	}
 	return free
 }
 
-// freePlaces is the same for places of adapters.
-func (p *plan) freePlaces(e *Engine) int {
-	free := p.in.AdapterSlots - adapters(e)
+// freeAdapterSlots returns the adapter slots available, beside the loaded adapters and late
+// loads.
+func (p *plan) freeAdapterSlots(e *Engine) int {
+	free := p.in.AdapterSlots - adapterCount(e)
 	for _, l := range e.LateLoads {
-		if l.Adapter != "" && !holdsAdapter(e, l) {
+		if l.Adapter != "" && !hasAdapter(e, l) {
 			free--
 		}
 	}
 	return free
 }
 
-func holdsAdapter(e *Engine, l ModelRef) bool {
-	return slices.ContainsFunc(e.Loaded, func(h LoadedModel) bool {
-		_, there := h.Adapters[l.Adapter]
-		return h.Model == l.Model && there
+func hasAdapter(e *Engine, ref ModelRef) bool {
+	return slices.ContainsFunc(e.Loaded, func(l LoadedModel) bool {
+		_, present := l.Adapters[ref.Adapter]
+		return l.Model == ref.Model && present
 	})
 }
 
-// reserve is the memory for a full set of the largest adapters. It is kept free
-// at each engine: an adapter must never be what does not fit.
-func (p *plan) reserve() float64 {
+// adapterMemory returns the memory of a full set of the largest adapters. It is reserved at
+// each engine, so that an adapter always fits.
+func (p *plan) adapterMemory() float64 {
 	var largest float64
 	for _, m := range p.in.Models {
 		largest = max(largest, m.AdapterMB)
@@ -68,26 +68,27 @@
 	return largest * float64(p.in.AdapterSlots)
 }
 
-// room tells which models would have to go, in their order, and what that loses.
-func (p *plan) room(e *Engine, m *Model) (victims []string, loss float64, ok bool) {
+// evictions returns the models to unload to make room for m, in order, and the cost of losing
+// them. ok is false if there can't be enough room.
+func (p *plan) evictions(e *Engine, m *Model) (victims []string, loss float64, ok bool) {
 	free := p.freeMemory(e)
 	if free >= m.MemoryMB {
 		return nil, 0, true
 	}
-	var order []LoadedModel
-	for _, h := range e.Loaded {
-		// What a late order may bring back leaves no room.
-		if p.evictable(h, m) && !slices.Contains(e.LateLoads, ModelRef{Model: h.Model}) {
-			order = append(order, h)
+	var candidates []LoadedModel
+	for _, l := range e.Loaded {
+		// A late load of this model could use the room again.
+		if p.evictable(l, m) && !slices.Contains(e.LateLoads, ModelRef{Model: l.Model}) {
+			candidates = append(candidates, l)
 		}
 	}
-	slices.SortFunc(order, func(a, b LoadedModel) int {
-		return cmp.Or(cmp.Compare(p.value(a.Model), p.value(b.Model)), cmp.Compare(a.Model, b.Model))
+	slices.SortFunc(candidates, func(a, b LoadedModel) int {
+		return cmp.Or(cmp.Compare(p.evictionCost(a.Model), p.evictionCost(b.Model)), cmp.Compare(a.Model, b.Model))
 	})
-	for _, h := range order {
-		loss += p.value(h.Model)
-		free += p.sizeOf(h.Model)
-		victims = append(victims, h.Model)
+	for _, l := range candidates {
+		loss += p.evictionCost(l.Model)
+		free += p.modelMemory(l.Model)
+		victims = append(victims, l.Model)
 		if free >= m.MemoryMB {
 			return victims, loss, true
 		}
@@ -95,42 +96,42 @@
 	return nil, 0, false
 }
 
-// sizeOf takes a model that the configuration no longer names for as large as
-// an engine: its size is not known, so nothing is loaded beside it.
-func (p *plan) sizeOf(model string) float64 {
+// modelMemory returns the memory of a model. The size of a model that was removed from the
+// configuration is unknown: it counts as a whole engine, so that nothing is loaded beside it.
+func (p *plan) modelMemory(model string) float64 {
 	if m := p.in.Models[model]; m != nil {
 		return m.MemoryMB
 	}
 	return p.in.MemoryMB
 }
 
-func (p *plan) evictable(h LoadedModel, m *Model) bool {
-	old := p.in.Models[h.Model]
-	if old == nil {
+func (p *plan) evictable(l LoadedModel, m *Model) bool {
+	current := p.in.Models[l.Model]
+	if current == nil {
 		return true
 	}
-	if p.in.Now.Sub(h.Since) < minHold || old.Waiting > 0 || h.InUse {
-		// An unload waits for the model's runs to end, and the engine takes no other
-		// order meanwhile.
+	if p.in.Now.Sub(l.Since) < minResidency || current.Waiting > 0 || l.InUse {
+		// An unload waits for the model's requests to end, and the engine takes no other order
+		// meanwhile.
 		return false
 	}
-	if p.replicas[h.Model] > max(p.needed(old), 1) {
+	if p.replicas[l.Model] > max(p.replicasNeeded(current), 1) {
 		return true
 	}
-	return p.in.Now.Sub(old.LastRequested) > askedGuard && (m.Waiting > 0 || old.Rate < m.Rate)
+	return p.in.Now.Sub(current.LastRequested) > recentRequestGuard && (m.Waiting > 0 || current.Rate < m.Rate)
 }
 
-// value is what the loss of one replica costs, in seconds of load time weighed
-// with how likely the model is asked for: a surplus replica is worth little.
-func (p *plan) value(model string) float64 {
+// evictionCost returns the cost of losing one replica, in seconds of load time weighted with
+// the chance of a request for the model: a surplus replica costs little.
+func (p *plan) evictionCost(model string) float64 {
 	m := p.in.Models[model]
 	if m == nil {
 		return 0
 	}
 	idle := p.in.Now.Sub(m.LastRequested).Seconds()
-	likely := m.Rate + 1/(1+max(idle, 0))
-	if n := p.replicas[model]; n > max(p.needed(m), 1) {
-		return likely / (10 * float64(n))
+	probability := m.Rate + 1/(1+max(idle, 0))
+	if n := p.replicas[model]; n > max(p.replicasNeeded(m), 1) {
+		return probability / (10 * float64(n))
 	}
-	return likely
+	return probability
 }
--- a/internal/loading/hand_test.go
+++ b/internal/loading/sender_test.go
@@ -14,15 +14,15 @@
 	"fennelyard/internal/loading"
 )
 
-// A new leader of a large fleet has dozens of orders to give, and each holder asked it for
-// each of them who leads; it had no time for the answers, the orders did not leave, and were
-// given again: for fifteen seconds hardly one did. A burst of orders asks once, and waits for
-// the answer of a leader that is at work.
-func TestBurstOfOrdersAsksOnceWhoLeads(t *testing.T) {
+// A new leader of a large fleet has dozens of orders to send, and each order holder queried it
+// once per order for who leads. It had no time to answer them all, the orders were not sent,
+// and were repeated: for fifteen seconds hardly one was sent. A burst of orders must query
+// once, and wait for the reply of a busy leader.
+func TestBurstOfOrdersQueriesLeaderOnce(t *testing.T) {
 	for name, x := range map[string]struct {
-		takes time.Duration
+		delay time.Duration
 		fails bool
-		gone  int
+		sent  int
 	}{
 		"an idle leader":         {time.Millisecond, false, 30},
 		"a busy leader":          {350 * time.Millisecond, false, 30},
@@ -32,16 +32,16 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var mu sync.Mutex
-				asked, gone := 0, 0
-				h := loading.NewSender(loading.SenderConfig{
+				queries, sent := 0, 0
+				s := loading.NewSender(loading.SenderConfig{
 					CatchUp: func(ctx context.Context) (uint64, error) {
 						mu.Lock()
-						asked++
+						queries++
 						mu.Unlock()
 						select {
 						case <-ctx.Done():
 							return 0, ctx.Err()
-						case <-time.After(x.takes):
+						case <-time.After(x.delay):
 						}
 						if x.fails {
 							return 0, errors.New("not the leader")
@@ -52,7 +52,7 @@
 					SendOrder: func(context.Context, string, loading.Order) (loading.Outcome, error) {
 						mu.Lock()
 						defer mu.Unlock()
-						gone++
+						sent++
 						return loading.OutcomeTaken, nil
 					},
 					Now: time.Now, Log: logr.Discard(),
@@ -62,13 +62,13 @@
 					wg.Go(func() {
 						time.Sleep(time.Duration(i%3) * time.Microsecond)
 						server := string(rune('a' + i))
-						_, err := h.Send(t.Context(), 7, "a:1", loading.Order{Server: server, FencingToken: uint64(i + 1)})
-						require.Equal(t, x.gone == 0, errors.Is(err, loading.ErrNotSent))
+						_, err := s.Send(t.Context(), 7, "a:1", loading.Order{Server: server, FencingToken: uint64(i + 1)})
+						require.Equal(t, x.sent == 0, errors.Is(err, loading.ErrNotSent))
 					})
 				}
 				wg.Wait()
-				require.Equal(t, x.gone, gone)
-				require.Equal(t, 1, asked)
+				require.Equal(t, x.sent, sent)
+				require.Equal(t, 1, queries)
 			})
 		})
 	}
--- a/internal/loading/store.go
+++ b/internal/loading/store.go
@@ -3,60 +3,60 @@
 import "time"
 
 const (
-	// storeAtFirst is how many loads are given to a weight store of which nothing is
-	// known yet: one that serves a single load at full speed takes three times as long
-	// for each of three.
-	storeAtFirst = 3
-	// storeStretched is from how much longer than alone on a load counts as slowed by
-	// others: the end of a load is seen within a few hundredths of its time.
-	storeStretched = 1.15
+	// initialStoreConcurrency is the number of concurrent loads from a weight store of unknown
+	// speed: one that serves a single load at full speed takes three times as long for each of
+	// three.
+	initialStoreConcurrency = 3
+	// slowedLoadRatio is the ratio of a load's time to its time alone from which it counts as
+	// slowed by others: the end of a load is observed within a few hundredths of its time.
+	slowedLoadRatio = 1.15
 )
 
-// store is what is known of a weight store that serves a few loads at full speed, and
-// more of them longer in proportion: more at once bring no model sooner, and keep more
-// engines from other orders. Nobody says how many; the loads' own times tell. The zero
-// value is ready for use.
+// store estimates the speed of a weight store, which serves a few concurrent loads at full
+// speed and more of them proportionally slower: more loads at once complete no sooner, and keep
+// more engines from other orders. The limit is not configured; it is estimated from the load
+// times. The zero value is ready for use.
 type store struct {
-	// speed is how many loads are served at full speed, as far as is known; 0: nothing.
-	speed float64
+	// fullSpeedLoads is the estimated number of loads served at full speed; 0: unknown.
+	fullSpeedLoads float64
 }
 
-// atOnce is how many loads the store is given at once.
-func (s *store) atOnce() int {
-	if s.speed == 0 {
-		return storeAtFirst
+// concurrency returns the number of loads to run concurrently.
+func (s *store) concurrency() int {
+	if s.fullSpeedLoads == 0 {
+		return initialStoreConcurrency
 	}
-	return max(int(s.speed+0.5), 1)
+	return max(int(s.fullSpeedLoads+0.5), 1)
 }
 
-// ended notes that a load took so long that began as one of so many; alone it takes
-// full. One that was not slowed shows that one more may be tried.
-func (s *store) ended(atOnce int, took, full time.Duration) {
-	if full <= 0 || atOnce <= 0 {
+// recordLoad records the time of a load that began as one of so many concurrent ones; alone it
+// takes full. A load that was not slowed shows that one more may be tried.
+func (s *store) recordLoad(concurrent int, took, full time.Duration) {
+	if full <= 0 || concurrent <= 0 {
 		return
 	}
 	stretch := float64(took) / float64(full)
-	if stretch < storeStretched {
-		s.speed = max(float64(s.atOnce()), float64(atOnce+1))
+	if stretch < slowedLoadRatio {
+		s.fullSpeedLoads = max(float64(s.concurrency()), float64(concurrent+1))
 		return
 	}
-	s.speed = max(float64(atOnce)/stretch, 1)
+	s.fullSpeedLoads = max(float64(concurrent)/stretch, 1)
 }
 
-// running notes that a load that began as one of so many has not ended after a time.
-// A store that serves one at a time would otherwise be known only after the loads that
-// are under way, most of a minute.
-func (s *store) running(atOnce int, gone, full time.Duration) {
-	if full <= 0 || float64(gone) < storeStretched*float64(full) {
+// recordProgress records that a load that began as one of so many concurrent ones is not done
+// after a time. The speed of a store that serves one load at a time would otherwise be unknown
+// until the first loads end, for most of a minute.
+func (s *store) recordProgress(concurrent int, elapsed, full time.Duration) {
+	if full <= 0 || float64(elapsed) < slowedLoadRatio*float64(full) {
 		return
 	}
-	if most := max(float64(atOnce)*float64(full)/float64(gone), 1); most < float64(s.atOnce()) {
-		s.speed = most
+	if estimate := max(float64(concurrent)*float64(full)/float64(elapsed), 1); estimate < float64(s.concurrency()) {
+		s.fullSpeedLoads = estimate
 	}
 }
 
-// storeOf returns what is known of a pool's weight store; mu is held.
-func (d *Driver) storeOf(pool string) *store {
+// poolStore returns the estimate of a pool's weight store; the caller holds mu.
+func (d *Driver) poolStore(pool string) *store {
 	s := d.stores[pool]
 	if s == nil {
 		s = &store{}
@@ -65,19 +65,19 @@
 	return s
 }
 
-// fromStore is how long the load under way takes where the store has no other.
-func (d *Driver) fromStore(e *engine) time.Duration {
+// storeLoadTime returns how long the load in progress takes if the store serves no other.
+func (d *Driver) storeLoadTime(e *engine) time.Duration {
 	if m := d.modelOf(e, e.order.Model); m != nil {
 		return m.StoreLoadTime
 	}
 	return 0
 }
 
-// fromStoreNow counts the loads from the store that are under way in a pool.
-func (d *Driver) fromStoreNow(pool string) int {
+// storeLoadsRunning returns the number of loads from the store in progress in a pool.
+func (d *Driver) storeLoadsRunning(pool string) int {
 	n := 0
 	for _, e := range d.engines {
-		if e.pool == pool && e.fromStore() {
+		if e.pool == pool && e.loadsFromStore() {
 			n++
 		}
 	}
