--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -8,7 +8,7 @@
 	"fennelyard/internal/placement"
 )
 
-// BenchmarkDecide gives the price of a decision over one region.
+// BenchmarkDecide measures a decision over one region.
 func BenchmarkDecide(b *testing.B) {
 	for _, servers := range []int{100, 400, 1200} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -13,172 +13,171 @@
 	loadOverhead = 300 * time.Millisecond
 	// unloadTime is the expected time of an unload.
 	unloadTime = 500 * time.Millisecond
-	// spreadPenalty is the price in seconds of a second replica in a data
-	// centre that has one already.
-	spreadPenalty     = 2.0
-	defaultPerReplica = 8
-	// aheadMargin is the least gain of a load ahead, in cold starts.
-	aheadMargin = 0.25
+	// spreadPenalty is the cost, in seconds, of a second replica in a data centre that already
+	// has one.
+	spreadPenalty            = 2.0
+	defaultWaitingPerReplica = 8
+	// preloadMargin is the least gain of a preload, as a share of the price of a cold start.
+	preloadMargin = 0.25
 )
 
-// accelerator is one accelerator with what is on it.
+// accelerator is an accelerator with its replicas.
 type accelerator struct {
 	server   *Server
 	index    int
-	total    uint64
-	used     uint64
+	totalMiB uint64
+	usedMiB  uint64
 	busy     bool
 	replicas []*Replica
-	// going is set when this round unloads something here.
-	going bool
-	// idle is what an unload of every idle replica would free.
-	idle uint64
+	// unloading is set when this round unloads a replica here.
+	unloading bool
+	// evictableMiB is the memory that unloading all evictable replicas would free.
+	evictableMiB uint64
 }
 
-type world struct {
-	in    Input
-	accs  []*accelerator
-	byAcc map[string][]*accelerator
-	// byTarget holds the replicas of each target.
+// planner is the state of one decision.
+type planner struct {
+	in           Input
+	accelerators []*accelerator
+	byServer     map[string][]*accelerator
+	// byTarget are the replicas of each target.
 	byTarget map[string][]*Replica
-	// held caches have by target: it is asked for once per replica.
-	held map[string]int
-	// remote counts remote loads under way or decided in this round.
-	remote int
-	plan   Plan
+	// serving caches servingReplicas by target, which is called once per replica.
+	serving map[string]int
+	// remoteLoads counts the remote loads in progress or decided in this round.
+	remoteLoads int
+	plan        Plan
 }
 
-// wake is a target that needs another replica.
-type wake struct {
+// need is a target that needs another replica.
+type need struct {
 	model    Model
 	demand   Demand
 	deadline time.Time
 	pinned   bool
-	// ahead is set when nobody waits yet.
-	ahead bool
+	// preload is set when no request waits yet.
+	preload bool
 }
 
-// Decide returns what to load and unload now. The same input always gives the
-// same decisions.
+// Decide returns what to load and unload now. It is deterministic.
 func Decide(in Input) Plan {
-	w := newWorld(in)
-	for _, k := range w.wakes() {
-		w.serve(k)
+	p := newPlanner(in)
+	for _, n := range p.needs() {
+		p.placeReplica(n)
 	}
-	w.retire()
-	w.plan.IdleAccelerators = w.idleAccelerators()
-	return w.plan
+	p.unloadIdle()
+	p.plan.IdleAccelerators = p.idleAccelerators()
+	return p.plan
 }
 
-func newWorld(in Input) *world {
-	w := &world{
-		in: in, byAcc: map[string][]*accelerator{}, byTarget: map[string][]*Replica{}, held: map[string]int{},
+func newPlanner(in Input) *planner {
+	p := &planner{
+		in: in, byServer: map[string][]*accelerator{}, byTarget: map[string][]*Replica{}, serving: map[string]int{},
 		plan: Plan{Forecasts: map[string]Forecast{}},
 	}
 	for i := range in.Servers {
 		s := &in.Servers[i]
 		for j, total := range s.Accelerators {
-			a := &accelerator{server: s, index: j, total: total}
-			w.accs = append(w.accs, a)
-			w.byAcc[s.Name] = append(w.byAcc[s.Name], a)
+			a := &accelerator{server: s, index: j, totalMiB: total}
+			p.accelerators = append(p.accelerators, a)
+			p.byServer[s.Name] = append(p.byServer[s.Name], a)
 		}
 	}
 	for i := range in.Replicas {
 		r := &in.Replicas[i]
-		w.byTarget[r.Target] = append(w.byTarget[r.Target], r)
-		accs := w.byAcc[r.Server]
-		if r.Accelerator >= len(accs) {
+		p.byTarget[r.Target] = append(p.byTarget[r.Target], r)
+		accelerators := p.byServer[r.Server]
+		if r.Accelerator >= len(accelerators) {
 			continue
 		}
-		a := accs[r.Accelerator]
-		a.used += r.MemoryMiB
+		a := accelerators[r.Accelerator]
+		a.usedMiB += r.MemoryMiB
 		a.replicas = append(a.replicas, r)
 		a.busy = a.busy || r.State != StateLoaded
-		if r.State == StateLoading && w.tier(a, r.Target) == TierRemote {
-			w.remote++
+		if r.State == StateLoading && p.tier(a, r.Target) == TierRemote {
+			p.remoteLoads++
 		}
 	}
-	for _, a := range w.accs {
+	for _, a := range p.accelerators {
 		for _, r := range a.replicas {
-			if w.evictable(a, r) {
-				a.idle += r.MemoryMiB
+			if p.evictable(a, r) {
+				a.evictableMiB += r.MemoryMiB
 			}
 		}
 	}
-	return w
+	return p
 }
 
-func (w *world) tier(a *accelerator, target string) Tier { return a.server.Cached[target] }
+func (p *planner) tier(a *accelerator, target string) Tier { return a.server.Cached[target] }
 
-// wakes lists the targets that need a replica, in the order in which they are
-// served: what an operator pinned last, else by priority and earliest deadline.
-func (w *world) wakes() []wake {
-	byName := map[string]wake{}
-	for _, target := range slices.Sorted(maps.Keys(w.in.Demands)) {
-		d := w.in.Demands[target]
-		m, ok := w.in.Model(target)
+// needs returns the targets that need a replica, in the order in which they are placed: by
+// priority, then by earliest deadline, pinned targets and preloads last.
+func (p *planner) needs() []need {
+	byName := map[string]need{}
+	for _, target := range slices.Sorted(maps.Keys(p.in.Demands)) {
+		d := p.in.Demands[target]
+		m, ok := p.in.Model(target)
 		if !ok || d.Waiting+d.ExpectedRetries == 0 {
 			continue
 		}
-		if w.have(m) >= w.want(m, d) {
-			w.forecastExisting(target)
+		if p.servingReplicas(m) >= p.wantedReplicas(m, d) {
+			p.forecastExisting(target)
 			continue
 		}
-		byName[target] = wake{model: m, demand: d, deadline: deadlineOf(w.in.Now, d)}
-		w.wakeBase(byName, m, d)
+		byName[target] = need{model: m, demand: d, deadline: deadlineOf(p.in.Now, d)}
+		p.addBase(byName, m, d)
 	}
-	for _, name := range w.in.Pinned {
-		m, ok := w.in.Model(name)
-		if _, there := byName[name]; ok && !there && w.have(m) < m.MinReplicas {
-			byName[name] = wake{model: m, deadline: w.in.Now.Add(time.Hour), pinned: true}
+	for _, name := range p.in.Pinned {
+		m, ok := p.in.Model(name)
+		if _, listed := byName[name]; ok && !listed && p.servingReplicas(m) < m.MinReplicas {
+			byName[name] = need{model: m, deadline: p.in.Now.Add(time.Hour), pinned: true}
 		}
 	}
-	w.wakeAhead(byName)
-	return slices.SortedFunc(maps.Values(byName), func(a, b wake) int {
+	p.addPreloads(byName)
+	return slices.SortedFunc(maps.Values(byName), func(a, b need) int {
 		return cmp.Or(cmp.Compare(b.demand.Priority, a.demand.Priority), a.deadline.Compare(b.deadline),
 			cmp.Compare(len(a.model.Base), len(b.model.Base)), cmp.Compare(a.model.Name, b.model.Name))
 	})
 }
 
-// wakeAhead adds targets whose expected cold starts cost clearly more than
-// holding them from now on: the margin keeps what was just let go from coming
-// back at once.
-func (w *world) wakeAhead(byName map[string]wake) {
-	for _, name := range w.in.PreloadCandidates {
-		m, ok := w.in.Model(name)
-		if _, there := byName[name]; !ok || there || len(w.byTarget[name]) > 0 || len(w.accs) == 0 {
+// addPreloads adds targets whose expected cold starts cost clearly more than holding them from
+// now on. The margin keeps a target that was just unloaded from being loaded again at once.
+func (p *planner) addPreloads(byName map[string]need) {
+	for _, name := range p.in.PreloadCandidates {
+		m, ok := p.in.Model(name)
+		if _, listed := byName[name]; !ok || listed || len(p.byTarget[name]) > 0 || len(p.accelerators) == 0 {
 			continue
 		}
-		if m.Base != "" && !w.baseHasRoom(m) {
+		if m.Base != "" && !p.baseHasRoom(m) {
 			continue
 		}
-		cold, held := w.prices(w.accs[0], m)
-		if margin := aheadMargin * cold; w.pattern(name).HoldGain(w.in.Now, horizon, cold, held, margin) > margin {
-			byName[name] = wake{model: m, deadline: w.in.Now.Add(time.Hour), ahead: true}
+		coldPrice, idlePrice := p.prices(p.accelerators[0], m)
+		if margin := preloadMargin * coldPrice; p.pattern(name).HoldGain(p.in.Now, horizon, coldPrice, idlePrice, margin) > margin {
+			byName[name] = need{model: m, deadline: p.in.Now.Add(time.Hour), preload: true}
 		}
 	}
 }
 
-// wakeBase makes an adapter's demand one for its base where no accelerator with
-// the base has room.
-func (w *world) wakeBase(byName map[string]wake, m Model, d Demand) {
-	if m.Base == "" || w.baseHasRoom(m) {
+// addBase turns the demand for an adapter into demand for its base if no accelerator with the
+// base has room.
+func (p *planner) addBase(byName map[string]need, m Model, d Demand) {
+	if m.Base == "" || p.baseHasRoom(m) {
 		return
 	}
-	base, ok := w.in.Model(m.Base)
-	if _, there := byName[m.Base]; !ok || there || w.underWay(base) {
+	base, ok := p.in.Model(m.Base)
+	if _, listed := byName[m.Base]; !ok || listed || p.isLoading(base) {
 		return
 	}
-	byName[m.Base] = wake{model: base, demand: Demand{Priority: d.Priority, EarliestDeadline: d.EarliestDeadline}, deadline: deadlineOf(w.in.Now, d)}
+	byName[m.Base] = need{model: base, demand: Demand{Priority: d.Priority, EarliestDeadline: d.EarliestDeadline}, deadline: deadlineOf(p.in.Now, d)}
 }
 
-func (w *world) underWay(m Model) bool {
-	return slices.ContainsFunc(w.byTarget[m.Name], func(r *Replica) bool { return r.State == StateLoading })
+func (p *planner) isLoading(m Model) bool {
+	return slices.ContainsFunc(p.byTarget[m.Name], func(r *Replica) bool { return r.State == StateLoading })
 }
 
-func (w *world) baseHasRoom(m Model) bool {
-	for _, a := range w.accs {
-		if a.holds(m.Base, StateLoaded) && a.server.Usable && a.total-a.used+a.idle >= m.MemoryMiB {
+func (p *planner) baseHasRoom(m Model) bool {
+	for _, a := range p.accelerators {
+		if a.hasInState(m.Base, StateLoaded) && a.server.Usable && a.totalMiB-a.usedMiB+a.evictableMiB >= m.MemoryMiB {
 			return true
 		}
 	}
@@ -192,164 +191,165 @@
 	return d.EarliestDeadline
 }
 
-// have counts the replicas that serve or will serve the present version.
-func (w *world) have(m Model) int {
-	if n, ok := w.held[m.Name]; ok {
+// servingReplicas counts the replicas that serve or will serve the current version.
+func (p *planner) servingReplicas(m Model) int {
+	if n, ok := p.serving[m.Name]; ok {
 		return n
 	}
 	n := 0
-	for _, r := range w.byTarget[m.Name] {
-		if r.State != StateUnloading && r.Version == m.Version && w.usable(r.Server) {
+	for _, r := range p.byTarget[m.Name] {
+		if r.State != StateUnloading && r.Version == m.Version && p.usable(r.Server) {
 			n++
 		}
 	}
-	w.held[m.Name] = n
+	p.serving[m.Name] = n
 	return n
 }
 
-func (w *world) usable(server string) bool {
-	accs := w.byAcc[server]
-	return len(accs) > 0 && accs[0].server.Usable
+func (p *planner) usable(server string) bool {
+	accelerators := p.byServer[server]
+	return len(accelerators) > 0 && accelerators[0].server.Usable
 }
 
-func (w *world) want(m Model, d Demand) int {
-	per := cmp.Or(w.in.Prices.WaitingPerReplica, defaultPerReplica)
-	need := max((d.Waiting+per-1)/per, m.MinReplicas, 1)
-	return min(need, m.MaxReplicas)
+func (p *planner) wantedReplicas(m Model, d Demand) int {
+	per := cmp.Or(p.in.Prices.WaitingPerReplica, defaultWaitingPerReplica)
+	replicas := max((d.Waiting+per-1)/per, m.MinReplicas, 1)
+	return min(replicas, m.MaxReplicas)
 }
 
-func (w *world) forecastExisting(target string) {
+func (p *planner) forecastExisting(target string) {
 	var best Forecast
-	for _, r := range w.byTarget[target] {
+	for _, r := range p.byTarget[target] {
 		switch {
-		case r.State == StateLoaded && w.usable(r.Server):
+		case r.State == StateLoaded && p.usable(r.Server):
 			return
 		case r.State == StateLoading && (!best.Possible || r.ReadyAt.Before(best.ReadyAt)):
 			best = Forecast{Possible: true, ReadyAt: r.ReadyAt}
 		}
 	}
-	w.plan.Forecasts[target] = best
+	p.plan.Forecasts[target] = best
 }
 
-// serve decides one more replica for a target, or why there is none.
-func (w *world) serve(k wake) {
-	name := k.model.Name
-	if held := len(w.byTarget[name]); held >= k.model.MaxReplicas {
-		w.say(name, w.atBound(k.model))
+// placeReplica decides on one more replica for a target, or forecasts why there is none.
+func (p *planner) placeReplica(n need) {
+	name := n.model.Name
+	if count := len(p.byTarget[name]); count >= n.model.MaxReplicas {
+		p.setForecast(name, p.replicaLimitForecast(n.model))
 		return
 	}
-	best, ready := w.cheapest(k)
+	best, ready := p.cheapest(n)
 	if best == nil {
-		w.say(name, w.noRoom(k.model))
+		p.setForecast(name, p.noRoomForecast(n.model))
 		return
 	}
-	w.say(name, Forecast{Possible: true, ReadyAt: ready})
-	if free := best.total - best.used; free < k.model.MemoryMiB {
-		if k.ahead {
+	p.setForecast(name, Forecast{Possible: true, ReadyAt: ready})
+	if free := best.totalMiB - best.usedMiB; free < n.model.MemoryMiB {
+		if n.preload {
 			return
 		}
-		w.evict(best, k.model.MemoryMiB-free, name)
+		p.evict(best, n.model.MemoryMiB-free, name)
 		return
 	}
-	if w.tier(best, name) == TierRemote {
-		w.remote++
+	if p.tier(best, name) == TierRemote {
+		p.remoteLoads++
 	}
 	best.busy = true
-	best.used += k.model.MemoryMiB
-	w.plan.Decisions = append(w.plan.Decisions, Decision{
+	best.usedMiB += n.model.MemoryMiB
+	p.plan.Decisions = append(p.plan.Decisions, Decision{
 		Kind: KindLoad, Target: name, Server: best.server.Name, Incarnation: best.server.Incarnation,
-		Accelerator: best.index, ReadyAt: ready, Reason: wakeReason(k),
+		Accelerator: best.index, ReadyAt: ready, Reason: loadReason(n),
 	})
 }
 
-func wakeReason(k wake) string {
+func loadReason(n need) string {
 	switch {
-	case k.pinned:
+	case n.pinned:
 		return "lower bound"
-	case k.ahead:
+	case n.preload:
 		return "expected soon"
 	}
-	return fmt.Sprintf("%d waiting", k.demand.Waiting+k.demand.ExpectedRetries)
+	return fmt.Sprintf("%d waiting", n.demand.Waiting+n.demand.ExpectedRetries)
 }
 
-// say keeps the better of two forecasts: a loading replica beats a planned one.
-func (w *world) say(target string, f Forecast) {
-	w.forecastExisting(target)
-	if old, ok := w.plan.Forecasts[target]; ok && old.Possible && (!f.Possible || old.ReadyAt.Before(f.ReadyAt)) {
+// setForecast sets the better of the existing and the new forecast: a loading replica precedes
+// a planned one.
+func (p *planner) setForecast(target string, f Forecast) {
+	p.forecastExisting(target)
+	if current, ok := p.plan.Forecasts[target]; ok && current.Possible && (!f.Possible || current.ReadyAt.Before(f.ReadyAt)) {
 		return
 	}
-	for _, r := range w.byTarget[target] {
-		if r.State == StateLoaded && w.usable(r.Server) {
+	for _, r := range p.byTarget[target] {
+		if r.State == StateLoaded && p.usable(r.Server) {
 			return
 		}
 	}
-	w.plan.Forecasts[target] = f
+	p.plan.Forecasts[target] = f
 }
 
-// atBound tells a wait from an impossibility when every replica that was
-// confirmed is decided: one that is being unloaded makes room, and a server that
-// went quiet may come back, under the same incarnation or a new one. A lost
-// server's replica stays counted until somebody proves or decides otherwise.
-func (w *world) atBound(m Model) Forecast {
+// replicaLimitForecast returns whether a target at its replica limit can expect a replica: one
+// that is being unloaded makes room, and an unreachable server may come back, as the same
+// incarnation or a new one. The replica of a lost server counts until its end is proved or an
+// operator forgets the server.
+func (p *planner) replicaLimitForecast(m Model) Forecast {
 	reason := fmt.Sprintf("all %d replicas of %q are decided", m.MaxReplicas, m.Name)
-	for _, r := range w.byTarget[m.Name] {
-		accs := w.byAcc[r.Server]
-		if len(accs) > 0 && !accs[0].server.Lost {
-			return Forecast{Possible: true, ReadyAt: w.in.Now.Add(unloadTime + w.loadTime(accs[0], m))}
+	for _, r := range p.byTarget[m.Name] {
+		accelerators := p.byServer[r.Server]
+		if len(accelerators) > 0 && !accelerators[0].server.Lost {
+			return Forecast{Possible: true, ReadyAt: p.in.Now.Add(unloadTime + p.loadTime(accelerators[0], m))}
 		}
 		reason = fmt.Sprintf("%d of %d replicas of %q are decided, one of them on server %q, which is lost; "+
-			"an operator may raise max-replicas or forget the server", len(w.byTarget[m.Name]), m.MaxReplicas, m.Name, r.Server)
+			"an operator may raise max-replicas or forget the server", len(p.byTarget[m.Name]), m.MaxReplicas, m.Name, r.Server)
 	}
 	return Forecast{Reason: reason}
 }
 
-// noRoom tells a wait from an impossibility: orders that are under way may free
-// an accelerator.
-func (w *world) noRoom(m Model) Forecast {
-	for _, a := range w.accs {
-		if a.server.Usable && a.busy && a.total >= m.MemoryMiB {
-			return Forecast{Possible: true, ReadyAt: w.in.Now.Add(w.loadTime(a, m) + w.busyTime(a))}
+// noRoomForecast returns whether a target can expect room: orders in progress may free an
+// accelerator.
+func (p *planner) noRoomForecast(m Model) Forecast {
+	for _, a := range p.accelerators {
+		if a.server.Usable && a.busy && a.totalMiB >= m.MemoryMiB {
+			return Forecast{Possible: true, ReadyAt: p.in.Now.Add(p.loadTime(a, m) + p.busyTime(a))}
 		}
 	}
 	// An adapter waits for its base.
-	if f, ok := w.plan.Forecasts[m.Base]; ok && m.Base != "" && f.Possible {
+	if f, ok := p.plan.Forecasts[m.Base]; ok && m.Base != "" && f.Possible {
 		return Forecast{Possible: true, ReadyAt: f.ReadyAt.Add(loadOverhead)}
 	}
 	return Forecast{Reason: fmt.Sprintf("no accelerator has room for the %d MiB of %q", m.MemoryMiB, m.Name)}
 }
 
-func (w *world) busyTime(a *accelerator) time.Duration {
+func (p *planner) busyTime(a *accelerator) time.Duration {
 	wait := unloadTime
 	for _, r := range a.replicas {
 		if r.State == StateLoading {
-			wait = max(wait, r.ReadyAt.Sub(w.in.Now))
+			wait = max(wait, r.ReadyAt.Sub(p.in.Now))
 		}
 	}
 	return wait
 }
 
-// cheapest returns the accelerator with the lowest price in seconds: the time
-// to load, what the evicted replicas were worth, and the spread.
-func (w *world) cheapest(k wake) (*accelerator, time.Time) {
+// cheapest returns the accelerator with the lowest cost in seconds: the load time, the value of
+// the evicted replicas and the spread penalty.
+func (p *planner) cheapest(n need) (*accelerator, time.Time) {
 	var best *accelerator
 	var ready time.Time
 	price := 0.0
-	near := w.centresOf(k.model.Name)
-	for _, a := range w.accs {
-		if !w.fits(a, k.model) {
+	occupied := p.dataCentres(n.model.Name)
+	for _, a := range p.accelerators {
+		if !p.fits(a, n.model) {
 			continue
 		}
-		took := w.loadTime(a, k.model)
-		cost := took.Seconds() + w.evictionCost(a, k.model.MemoryMiB)
-		if near[a.server.DataCentre] {
+		took := p.loadTime(a, n.model)
+		cost := took.Seconds() + p.evictionCost(a, n.model.MemoryMiB)
+		if occupied[a.server.DataCentre] {
 			cost += spreadPenalty
 		}
-		// Between equals the fuller accelerator wins: it leaves the large gaps
-		// for large models.
-		cost += float64(a.total-a.used) / float64(a.total+1) * 0.01
+		// Between equals the fuller accelerator wins, which leaves the large gaps for large
+		// models.
+		cost += float64(a.totalMiB-a.usedMiB) / float64(a.totalMiB+1) * 0.01
 		if best == nil || cost < price {
-			best, price, ready = a, cost, w.in.Now.Add(took)
-			if a.total-a.used < k.model.MemoryMiB {
+			best, price, ready = a, cost, p.in.Now.Add(took)
+			if a.totalMiB-a.usedMiB < n.model.MemoryMiB {
 				ready = ready.Add(unloadTime)
 			}
 		}
@@ -357,41 +357,41 @@
 	return best, ready
 }
 
-func (w *world) fits(a *accelerator, m Model) bool {
-	if !a.server.Usable || a.busy || a.going || a.holdsAny(m.Name) {
+func (p *planner) fits(a *accelerator, m Model) bool {
+	if !a.server.Usable || a.busy || a.unloading || a.hasTarget(m.Name) {
 		return false
 	}
-	if m.Base != "" && !a.holds(m.Base, StateLoaded) {
+	if m.Base != "" && !a.hasInState(m.Base, StateLoaded) {
 		return false
 	}
-	return a.total-a.used+a.idle >= m.MemoryMiB
+	return a.totalMiB-a.usedMiB+a.evictableMiB >= m.MemoryMiB
 }
 
-func (w *world) centresOf(target string) map[string]bool {
+func (p *planner) dataCentres(target string) map[string]bool {
 	out := map[string]bool{}
-	for _, r := range w.byTarget[target] {
-		if accs := w.byAcc[r.Server]; len(accs) > 0 {
-			out[accs[0].server.DataCentre] = true
+	for _, r := range p.byTarget[target] {
+		if accelerators := p.byServer[r.Server]; len(accelerators) > 0 {
+			out[accelerators[0].server.DataCentre] = true
 		}
 	}
 	return out
 }
 
-func (a *accelerator) holds(target string, s State) bool {
+func (a *accelerator) hasInState(target string, s State) bool {
 	return slices.ContainsFunc(a.replicas, func(r *Replica) bool { return r.Target == target && r.State == s })
 }
 
-func (a *accelerator) holdsAny(target string) bool {
+func (a *accelerator) hasTarget(target string) bool {
 	return slices.ContainsFunc(a.replicas, func(r *Replica) bool { return r.Target == target })
 }
 
-// loadTime is the expected time of a load that starts now.
-func (w *world) loadTime(a *accelerator, m Model) time.Duration {
-	return LoadTime(w.in.Speeds, w.tier(a, m.Name), m.MemoryMiB, w.remote)
+// loadTime returns the expected time of a load that starts now.
+func (p *planner) loadTime(a *accelerator, m Model) time.Duration {
+	return LoadTime(p.in.Speeds, p.tier(a, m.Name), m.MemoryMiB, p.remoteLoads)
 }
 
-// LoadTime is the expected time of a load from a tier while a number of remote
-// loads run already.
+// LoadTime returns the expected time of a load from a tier while a number of remote loads are
+// in progress.
 func LoadTime(s LoadSpeeds, t Tier, mib uint64, remote int) time.Duration {
 	rate := s.RemoteMiBPerSecond
 	wait := 0.0
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -75,17 +75,16 @@
 	return in
 }
 
-// TestDecisionsKeepTheBounds checks any decision against what must hold: bounds,
-// memory, no load on a server that is leaving or not heard from, no unload of
-// what is in use or below its lower bound, one order at a time on an
-// accelerator, and the same decisions from the same input.
-func TestDecisionsKeepTheBounds(t *testing.T) {
+// TestDecisionsRespectBounds checks decisions on random inputs: replica bounds, memory, no load
+// on an unusable server, no unload of a replica in use or below the lower bound, one order at a
+// time on an accelerator, and the same decisions for the same input.
+func TestDecisionsRespectBounds(t *testing.T) {
 	loads, unloads := 0, 0
 	for seed := range int64(3000) {
 		in := randomInput(rand.New(rand.NewSource(seed)))
 		plan := placement.Decide(in)
 		require.Equal(t, plan, placement.Decide(in), "seed %d", seed)
-		held, used, orders := map[string]int{}, map[string]uint64{}, map[string]int{}
+		replicas, used, orders := map[string]int{}, map[string]uint64{}, map[string]int{}
 		byNumber := map[uint64]placement.Replica{}
 		usable := map[string]bool{}
 		for _, s := range in.Servers {
@@ -93,7 +92,7 @@
 		}
 		place := func(server string, accelerator int) string { return fmt.Sprint(server, "/", accelerator) }
 		for _, r := range in.Replicas {
-			held[r.Target]++
+			replicas[r.Target]++
 			used[place(r.Server, r.Accelerator)] += r.MemoryMiB
 			byNumber[r.Number] = r
 			if r.State != placement.StateLoaded {
@@ -107,10 +106,10 @@
 			require.LessOrEqual(t, orders[at], 1, "seed %d: %+v", seed, plan.Decisions)
 			if d.Kind == placement.KindLoad {
 				loads++
-				held[d.Target]++
+				replicas[d.Target]++
 				used[at] += m.MemoryMiB
 				require.True(t, usable[d.Server], "seed %d", seed)
-				require.LessOrEqual(t, held[d.Target], m.MaxReplicas, "seed %d", seed)
+				require.LessOrEqual(t, replicas[d.Target], m.MaxReplicas, "seed %d", seed)
 				require.LessOrEqual(t, used[at], []uint64{100, 80}[d.Accelerator], "seed %d", seed)
 				continue
 			}
@@ -124,7 +123,7 @@
 	assert.Greater(t, unloads, 500)
 }
 
-func oneServer(models ...placement.Model) placement.Input {
+func twoServers(models ...placement.Model) placement.Input {
 	return placement.Input{
 		Now: now, Demands: map[string]placement.Demand{}, Prices: placement.Prices{ColdStartSecond: 1, IdleAcceleratorHour: 20},
 		Speeds: placement.LoadSpeeds{RemoteMiBPerSecond: 10, DiskMiBPerSecond: 40, MemoryMiBPerSecond: 100, LoadsPerSecond: 3, FullSpeedLoads: 4},
@@ -143,8 +142,8 @@
 	}
 }
 
-func TestTheBetterTierIsChosen(t *testing.T) {
-	in := oneServer(placement.Model{Name: "m", Version: "1", MemoryMiB: 80, MaxReplicas: 1})
+func TestFasterTierIsChosen(t *testing.T) {
+	in := twoServers(placement.Model{Name: "m", Version: "1", MemoryMiB: 80, MaxReplicas: 1})
 	in.Servers[1].Cached = map[string]placement.Tier{"m": placement.TierDisk}
 	in.Demands["m"] = placement.Demand{Waiting: 1, EarliestDeadline: now.Add(time.Minute)}
 	plan := placement.Decide(in)
@@ -154,7 +153,7 @@
 }
 
 func TestEarlierDeadlinesAreServedFirst(t *testing.T) {
-	in := oneServer(
+	in := twoServers(
 		placement.Model{Name: "late", Version: "1", MemoryMiB: 80, MaxReplicas: 1},
 		placement.Model{Name: "soon", Version: "1", MemoryMiB: 80, MaxReplicas: 1},
 	)
@@ -167,8 +166,8 @@
 	assert.True(t, plan.Forecasts["late"].Possible, "it waits for room")
 }
 
-func TestAnAdapterWakesItsBase(t *testing.T) {
-	in := oneServer(
+func TestAdapterDemandLoadsBase(t *testing.T) {
+	in := twoServers(
 		placement.Model{Name: "base", Version: "1", MemoryMiB: 50, MaxReplicas: 1},
 		placement.Model{Name: "adapter", Base: "base", Version: "1", MemoryMiB: 5, MaxReplicas: 1},
 	)
@@ -185,10 +184,10 @@
 	assert.Equal(t, "a", plan.Decisions[0].Server)
 }
 
-// TestLostReplicaIsSaidSo: the only replica is on a lost server and no second
-// one was confirmed. The reason tells an operator what to do.
-func TestLostReplicaIsSaidSo(t *testing.T) {
-	in := oneServer(placement.Model{Name: "m", Version: "1", MemoryMiB: 50, MaxReplicas: 1})
+// The only replica is on a lost server and no second one was confirmed. The reason tells the
+// operator what to do.
+func TestForecastNamesLostServer(t *testing.T) {
+	in := twoServers(placement.Model{Name: "m", Version: "1", MemoryMiB: 50, MaxReplicas: 1})
 	in.Servers[0].Usable, in.Servers[0].Lost = false, true
 	in.Replicas = []placement.Replica{{
 		Number: 1, Target: "m", Version: "1", Server: "a", MemoryMiB: 50, State: placement.StateLoaded, Since: now, LastUsed: now,
@@ -200,10 +199,10 @@
 	assert.Contains(t, plan.Forecasts["m"].Reason, "forget the server")
 }
 
-// TestExpectedVisitsAreLoadedAhead: a model is asked for every working day at
-// the same hour. Before that hour it is loaded although nobody waits.
-func TestExpectedVisitsAreLoadedAhead(t *testing.T) {
-	in := oneServer(placement.Model{Name: "m", Version: "1", MemoryMiB: 50, MaxReplicas: 1})
+// A model is requested every working day at the same hour. Before that hour it is loaded
+// although no request waits.
+func TestExpectedVisitsArePreloaded(t *testing.T) {
+	in := twoServers(placement.Model{Name: "m", Version: "1", MemoryMiB: 50, MaxReplicas: 1})
 	monday := time.Date(2026, 11, 2, 9, 0, 0, 0, time.UTC)
 	p := placement.NewArrivalPattern(monday.Add(-9 * time.Hour))
 	for i := range 19 {
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,5 +1,5 @@
-// Package placement decides which replica is loaded where and which is unloaded.
-// Everything in it is a pure function of its arguments, time included, so that
-// tests and replays drive it without processes. The ledger enforces the bounds
-// again; a decision here that breaks them is refused there.
+// Package placement decides where replicas are loaded and which are unloaded. Decisions are
+// pure functions of their input, time included, so that tests and replays run them without
+// processes. The ledger enforces the bounds again: a decision that violates them is refused
+// there.
 package placement
--- a/internal/placement/input.go
+++ b/internal/placement/input.go
@@ -4,7 +4,7 @@
 
 //go:generate go tool stringer -type=Tier,State,Kind -linecomment
 
-// Tier is where a checkpoint lies.
+// Tier is the storage tier of a checkpoint.
 type Tier int
 
 // The tiers, the slowest first.
@@ -14,7 +14,7 @@
 	TierMemory             // memory
 )
 
-// State is how far a replica has come.
+// State is the state of a replica.
 type State int
 
 // The states of a replica.
@@ -29,16 +29,16 @@
 	Name        string
 	Incarnation uint64
 	DataCentre  string
-	// Accelerators holds each accelerator's memory in MiB.
+	// Accelerators is the memory of each accelerator in MiB.
 	Accelerators []uint64
 	// Usable is false for a server that is leaving, lost or suspected.
 	Usable bool
-	// Lost is true once the server is recorded as lost; one that is merely not
-	// usable may come back.
+	// Lost is true once the server is recorded as lost; one that is only unusable may come
+	// back.
 	Lost bool
-	// Leaving is true when the server's replicas should go once they are idle.
+	// Leaving is true when the server's replicas should be unloaded once they are idle.
 	Leaving bool
-	// Cached tells in which tier the server holds a target's checkpoint.
+	// Cached is the tier in which the server has a target's checkpoint.
 	Cached map[string]Tier
 }
 
@@ -65,37 +65,39 @@
 	ReadyAt time.Time
 	// Since is when the state began.
 	Since time.Time
-	// LastUsed is when the target last had a request; Running counts those that
-	// wait or run for the target now.
+	// LastUsed is when the target last had a request; Running counts the requests that wait or
+	// run for the target now.
 	LastUsed time.Time
 	Running  int
 }
 
-// Demand is what waits for a target.
+// Demand is the demand for a target.
 type Demand struct {
 	Waiting int
-	// ExpectedRetries were refused and told to come back when a replica is ready.
+	// ExpectedRetries is the number of requests that were refused with a retry time, when a
+	// replica is expected to be ready.
 	ExpectedRetries int
-	// EarliestDeadline is the earliest deadline among the waiting; zero: none.
+	// EarliestDeadline is the earliest deadline among the waiting requests; zero: none.
 	EarliestDeadline time.Time
 	Priority         int32
 }
 
-// LoadSpeeds are what is believed about loads. See Learn.
+// LoadSpeeds are the assumed load speeds. SpeedEstimator estimates them.
 type LoadSpeeds struct {
-	// RemoteMiBPerSecond, DiskMiB and MemoryMiB are rates of one load per second.
+	// RemoteMiBPerSecond, DiskMiBPerSecond and MemoryMiBPerSecond are the rates of a single
+	// load.
 	RemoteMiBPerSecond float64
 	DiskMiBPerSecond   float64
 	MemoryMiBPerSecond float64
-	// LoadsPerSecond bounds the starts of remote loads; FullSpeed is how many
-	// run side by side without slowing each other.
+	// LoadsPerSecond bounds the starts of remote loads; FullSpeedLoads is how many run
+	// concurrently without slowing each other.
 	LoadsPerSecond float64
 	FullSpeedLoads int
 }
 
-// Prices are a deployment's prices.
+// Prices are the prices that decisions trade off.
 type Prices struct {
-	// ColdStartSecond is the price of a caller's wait of one second for a load.
+	// ColdStartSecond is the price of one second that a request waits for a load.
 	ColdStartSecond float64
 	// IdleAcceleratorHour is the price of one accelerator that is held idle for an hour.
 	IdleAcceleratorHour float64
@@ -107,27 +109,27 @@
 type Input struct {
 	Now     time.Time
 	Servers []Server
-	// Model returns a configured model; false when it is not configured.
+	// Model returns a configured model; false if it is not configured.
 	Model func(name string) (Model, bool)
-	// SkipIdle is true in rounds that need not look at idle replicas.
+	// SkipIdle is true in rounds that do not check idle replicas.
 	SkipIdle bool
-	// PreloadCandidates names targets that may be loaded before anyone waits for them; a
-	// few per decision keep its price low.
+	// PreloadCandidates are targets that may be loaded before a request waits for them. The
+	// caller passes a few per decision to bound its cost.
 	PreloadCandidates []string
-	// Pinned names the models with a lower bound above 0.
+	// Pinned are the models with a lower bound above 0.
 	Pinned   []string
 	Replicas []Replica
 	Demands  map[string]Demand
-	// Pattern returns what is learnt of a target's arrivals; nil: nothing.
+	// Pattern returns the arrival pattern of a target; nil: unknown.
 	Pattern func(name string) *ArrivalPattern
 	Speeds  LoadSpeeds
 	Prices  Prices
-	// IdleTimeout, where set, replaces the learnt keep time of an idle replica: for
-	// baselines.
+	// IdleTimeout, if set, replaces the price comparison for idle replicas: one is unloaded
+	// after this time. Baselines of the replay use it.
 	IdleTimeout func(r Replica) time.Duration
 }
 
-// Kind is what a decision asks for.
+// Kind is the kind of a decision.
 type Kind int
 
 // The kinds of decisions.
@@ -136,7 +138,7 @@
 	KindUnload             // unload
 )
 
-// Decision asks for one order.
+// Decision is a decision to send one order.
 type Decision struct {
 	Kind        Kind
 	Target      string
@@ -150,9 +152,9 @@
 	Reason  string
 }
 
-// Forecast is when a target that has none is expected to have a replica.
+// Forecast is when a target without a replica is expected to have one.
 type Forecast struct {
-	// Possible is false when nothing will be loaded; Reason tells why.
+	// Possible is false when nothing will be loaded, for Reason.
 	Possible bool
 	ReadyAt  time.Time
 	Reason   string
@@ -163,7 +165,7 @@
 	Decisions []Decision
 	// Forecasts has every target with a demand and no loaded replica.
 	Forecasts map[string]Forecast
-	// IdleAccelerators is the number of accelerators held without a request now. A replica
-	// holds the share of its accelerator that its memory takes.
+	// IdleAccelerators is the number of accelerators held without a request. A replica holds
+	// the share of its accelerator that its memory takes.
 	IdleAccelerators float64
 }
--- a/internal/placement/pattern.go
+++ b/internal/placement/pattern.go
@@ -9,58 +9,57 @@
 const (
 	// Gaps between arrivals are counted in classes of powers of two seconds.
 	gapClasses = 24
-	// decay ages old gaps, so that a season's change is followed.
+	// decay ages old gaps, so that the pattern follows seasonal changes.
 	decay = 0.98
-	// priorWeight is how many gaps the prior belief counts for.
+	// priorWeight is the weight of the prior, in gaps.
 	priorWeight = 2.0
-	// visitGap parts two visits: arrivals closer than this belong to one burst.
+	// visitGap separates two visits: closer arrivals belong to one burst.
 	visitGap = time.Minute
-	// shortAge is the idle time up to which the gaps tell when the next arrival
-	// comes; after it the time of day does.
-	shortAge = 10 * time.Minute
-	// binsPerDay is the number of times of day that are told apart, for working
-	// days and for weekends.
+	// shortIdle is the idle time up to which the gaps predict the next arrival; after it the
+	// time of day does.
+	shortIdle = 10 * time.Minute
+	// binsPerDay is the number of times of day that are counted separately, for working days
+	// and for weekends.
 	binsPerDay = 48
 	dayKinds   = 2
 	binWidth   = 24 * time.Hour / binsPerDay
-	// priorHours is how many hours of observation the mean rate counts for in
-	// the rate of one time of day.
+	// priorHours is the weight of the mean rate in the rate of one time of day, in hours of
+	// observation.
 	priorHours = 1.0
-	// horizon is how far ahead the worth of a replica is looked at.
+	// horizon is how far ahead the gain of holding a replica is computed.
 	horizon = 24 * time.Hour
-	// firstStep is the step at the beginning of the horizon; it grows with it.
+	// firstStep is the step at the beginning of the horizon; steps grow with it.
 	firstStep = 15 * time.Second
 	workDays  = 5.0
 )
 
-// ArrivalPattern is what is learnt of one target's arrivals. It is not safe for
-// several goroutines.
+// ArrivalPattern is the arrival statistics of one target. It is not safe for concurrent use.
 type ArrivalPattern struct {
 	// gaps counts the gaps from 2^i to 2^(i+1) seconds, aged by decay.
 	gaps [gapClasses]float32
 	// visits counts the visits by kind of day and time of day.
-	visits [dayKinds][binsPerDay]float32
-	total  float32
-	began  time.Time
-	last   time.Time
+	visits        [dayKinds][binsPerDay]float32
+	totalVisits   float32
+	observedSince time.Time
+	lastArrival   time.Time
 }
 
-// NewArrivalPattern returns a pattern that has been watched since a time.
-func NewArrivalPattern(began time.Time) *ArrivalPattern { return &ArrivalPattern{began: began} }
+// NewArrivalPattern returns the pattern of a target observed since a time.
+func NewArrivalPattern(since time.Time) *ArrivalPattern { return &ArrivalPattern{observedSince: since} }
 
-// RecordArrival takes note of an arrival.
+// RecordArrival records an arrival.
 func (p *ArrivalPattern) RecordArrival(at time.Time) {
-	if at.Before(p.last) {
+	if at.Before(p.lastArrival) {
 		return
 	}
-	gap := at.Sub(p.last)
-	if p.last.IsZero() || gap > visitGap {
+	gap := at.Sub(p.lastArrival)
+	if p.lastArrival.IsZero() || gap > visitGap {
 		kind, bin := binOf(at)
 		p.visits[kind][bin]++
-		p.total++
+		p.totalVisits++
 	}
-	first := p.last.IsZero()
-	p.last = at
+	first := p.lastArrival.IsZero()
+	p.lastArrival = at
 	if first || gap < time.Second {
 		return
 	}
@@ -82,7 +81,7 @@
 	daysPerWeek  = 7
 )
 
-// binOf counts from the clock's seconds: it is asked for many times a decision.
+// binOf computes the bin from Unix seconds: it is called many times in a decision.
 func binOf(at time.Time) (kind, bin int) {
 	seconds := at.Unix()
 	switch (seconds/secondsPerDay + firstWeekday) % daysPerWeek {
@@ -92,25 +91,25 @@
 	return kind, int(seconds % secondsPerDay * binsPerDay / secondsPerDay)
 }
 
-// rate returns the expected visits per hour at a time: what was seen at that
-// time of day, drawn towards the mean over all times.
+// rate returns the expected visits per hour at a time: those observed at that time of day,
+// shrunk towards the mean over all times.
 func (p *ArrivalPattern) rate(at, now time.Time) float64 {
-	watched := max(now.Sub(p.began).Hours(), 1)
-	mean := float64(p.total) / watched
+	observedHours := max(now.Sub(p.observedSince).Hours(), 1)
+	mean := float64(p.totalVisits) / observedHours
 	kind, bin := binOf(at)
 	days := workDays
 	if kind == 1 {
 		days = daysPerWeek - workDays
 	}
-	seen := watched / (daysPerWeek * 24) * days * binWidth.Hours()
-	return (float64(p.visits[kind][bin]) + mean*priorHours) / (seen + priorHours)
+	observed := observedHours / (daysPerWeek * 24) * days * binWidth.Hours()
+	return (float64(p.visits[kind][bin]) + mean*priorHours) / (observed + priorHours)
 }
 
-// hazard returns the expected arrivals per hour at a time, for a target that
-// has been idle for a time by then.
+// hazard returns the expected arrivals per hour at a time, for a target that has been idle for
+// a duration by then.
 func (p *ArrivalPattern) hazard(at, now time.Time, idle time.Duration) float64 {
 	rate := p.rate(at, now)
-	if idle >= shortAge {
+	if idle >= shortIdle {
 		return rate
 	}
 	const prior = priorWeight / gapClasses
@@ -123,31 +122,31 @@
 	return max(rate, (float64(p.gaps[class])+prior)/later/width)
 }
 
-// HoldGain returns the highest expected gain of holding a replica from now on for
-// some time, for a target that has been idle for a time: the price of the cold
-// start that is spared, by its chance, less the price of the idle time until
-// then. 0 means that letting it go now is best. The search ends as soon as the
-// gain is above enough. A nil Pattern expects nothing.
+// HoldGain returns the highest expected gain of holding a replica from now on for some time,
+// for a target that has been idle for a duration: the price of the cold start that it saves,
+// times its probability, less the price of the idle time until then, where idlePrice is the
+// price of an hour. 0 means that unloading it now is best. The search ends as soon as the gain
+// is above enough. A nil ArrivalPattern expects no arrivals.
 func (p *ArrivalPattern) HoldGain(now time.Time, idle time.Duration, coldPrice, idlePrice, enough float64) float64 {
 	if p == nil {
 		return 0
 	}
-	best, gain, absent := 0.0, 0.0, 1.0
+	best, gain, noArrival := 0.0, 0.0, 1.0
 	step := firstStep
-	for ahead := time.Duration(0); ahead < horizon && absent > 0.01 && best <= enough; ahead += step {
+	for ahead := time.Duration(0); ahead < horizon && noArrival > 0.01 && best <= enough; ahead += step {
 		step = min(max(firstStep, ahead/2), binWidth)
 		expected := p.hazard(now.Add(ahead+step/2), now, idle+ahead+step/2) * step.Hours()
-		arrives := 1 - math.Exp(-expected)
+		arrival := 1 - math.Exp(-expected)
 		// With an arrival in the step, half of it is idle on average.
-		gain += absent * (arrives*coldPrice - (1-arrives/2)*step.Hours()*idlePrice)
-		absent *= 1 - arrives
+		gain += noArrival * (arrival*coldPrice - (1-arrival/2)*step.Hours()*idlePrice)
+		noArrival *= 1 - arrival
 		best = max(best, gain)
 	}
 	return best
 }
 
-// ArrivalProbability returns the chance of an arrival in the time ahead, for a target
-// that has been idle for a time already.
+// ArrivalProbability returns the probability of an arrival within the duration ahead, for a
+// target that has been idle for a duration.
 func (p *ArrivalPattern) ArrivalProbability(now time.Time, idle, ahead time.Duration) float64 {
 	if p == nil {
 		return 0
@@ -155,17 +154,17 @@
 	return 1 - math.Exp(-p.hazard(now.Add(ahead/2), now, idle+ahead/2)*ahead.Hours())
 }
 
-// IdleHoursPerDay returns the expected hours per day that a replica is held idle, by
-// the visits seen so far and the gains at these prices.
+// IdleHoursPerDay returns the expected hours per day that a replica is held idle, from the
+// visits recorded so far and the gains at these prices, where idlePrice is the price of an hour.
 func (p *ArrivalPattern) IdleHoursPerDay(now time.Time, coldPrice, idlePrice float64) float64 {
 	if p == nil {
 		return 0
 	}
-	held := time.Duration(0)
+	total := time.Duration(0)
 	for at := time.Duration(0); at < 24*time.Hour; at += binWidth {
-		if p.HoldGain(now.Add(at), shortAge, coldPrice, idlePrice, 0) > 0 {
-			held += binWidth
+		if p.HoldGain(now.Add(at), shortIdle, coldPrice, idlePrice, 0) > 0 {
+			total += binWidth
 		}
 	}
-	return held.Hours()
+	return total.Hours()
 }
