--- a/internal/roster/hosts.go
+++ b/internal/roster/hosts.go
@@ -12,198 +12,201 @@
 )
 
 const (
-	// hostSilence is how long a control host may say nothing before the leader counts
-	// neither on it nor on the entries that attend it. Hosts speak ten times a second, and
-	// entries notice as soon that their host is silent, and attend another.
-	hostSilence = 1200 * time.Millisecond
-	// hostKeep is for how much longer callers are sent to the entries of a host that is
-	// silent or gone: they live, and attend another host within a moment. Dropped at once,
-	// a ninth of all entries would leave the directory whenever a control host restarts.
-	hostKeep = 2 * time.Second
-	// listAfter is how long a new leader waits before it tells which hosts and entries
-	// there are: hosts find it within a few tenths of a second, and the lists of the first
-	// one would send all entries to it, and all callers to its entries.
-	listAfter = time.Second
-	// spareLeaderFrom is the number of control hosts from which on entries are sent to
-	// others than the leader: 33 entries cost it 0.03 of a core, as much as it spends on
-	// deciding, and with eight others each of these has four more for it.
-	spareLeaderFrom = 5
-	// loadsKeep is for how long the sum of the entries' loads is told before it is worked
-	// out anew: it is told to each control host ten times a second.
-	loadsKeep = 50 * time.Millisecond
-	// entriesLogged is how often the number of a host's entries is logged at most: while
-	// hundreds of them move it changes with each word.
-	entriesLogged = time.Second
+	// hostSilenceTimeout is how long a control host may send nothing before the leader
+	// ignores it and the entries subscribed to it. Hosts send ten times a second, and
+	// entries detect a silent host as soon and subscribe to another.
+	hostSilenceTimeout = 1200 * time.Millisecond
+	// hostRetention is how much longer the entries of a silent or disconnected host stay in
+	// the directory for callers: they are running and subscribe to another host within a
+	// moment. If they were removed at once, a ninth of all entries would leave the
+	// directory whenever a control host restarts.
+	hostRetention = 2 * time.Second
+	// listDelay is how long a new leader waits before it sends the lists of hosts and
+	// entries. Hosts connect to it within a few tenths of a second; the lists made of the
+	// first one alone would send all entries to that host and all callers to its entries.
+	listDelay = time.Second
+	// maxHostsWithLeader is the largest number of control hosts at which the leader itself
+	// is listed for entries. 33 entries cost the leader 0.03 of a core, as much as its
+	// decisions; with eight other hosts, each of these serves four more entries instead.
+	maxHostsWithLeader = 5
+	// loadSumMaxAge is how long the sum of the entries' loads is reused before it is
+	// computed again. It is sent to each control host ten times a second.
+	loadSumMaxAge = 50 * time.Millisecond
+	// entryCountLogInterval is the minimum time between two log lines with the number of a
+	// host's entries, which changes with each update while hundreds of entries move.
+	entryCountLogInterval = time.Second
 )
 
-// following is one control host's stream to the leader.
-type following struct {
-	host  *schema.ControlHost
-	heard time.Time
-	// stream tells a host's newer stream from an older one that ends late.
+// hostState is what the leader knows of one control host, from its newest stream.
+type hostState struct {
+	host         *schema.ControlHost
+	lastReceived time.Time
+	// stream distinguishes a host's newer stream from an older one that ends late.
 	stream uint64
-	// silent is set once the host has said nothing for hostSilence, or its stream ended.
+	// silent is set once the host has sent nothing for hostSilenceTimeout or its stream has
+	// ended.
 	silent bool
-	// lagging is set while the host tells entries nothing.
+	// lagging is set while the host sends no updates to entries.
 	lagging bool
-	// entries are those that attend the host.
+	// entries are the entries subscribed to the host.
 	entries []*schema.AttendingEntry
-	// loads is what these have at the engines.
+	// loads are the loads of these entries at the engines.
 	loads []*schema.EngineLoad
-	// told is how far the host and its entries have been told, by their own word.
-	told Progress
-	// behind names entries that are told no further than told.
-	behind []string
-	// count is how many entries were logged last, and counted when.
-	count   int
-	counted time.Time
+	// progress is how far the host and its entries have acknowledged, as the host reports
+	// it.
+	progress Progress
+	// behindEntries names the entries that have acknowledged no more than progress.
+	behindEntries []string
+	// loggedCount is the number of entries that was logged last, and loggedAt when.
+	loggedCount int
+	loggedAt    time.Time
 }
 
-// HostConnected notes that a control host speaks on a stream; stream numbers grow.
+// HostConnected adds a control host that has opened a stream. Stream numbers increase.
 func (r *Roster) HostConnected(stream uint64, host *schema.ControlHost) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f := &following{host: host, heard: r.cfg.Now(), stream: stream}
+	h := &hostState{host: host, lastReceived: r.cfg.Now(), stream: stream}
 	if old := r.hosts[host.GetAddress()]; old != nil {
-		r.count(old.loads, -1)
-		// Its entries are heard again with its first word.
-		f.entries = old.entries
+		r.addRequests(old.loads, -1)
+		// The first update on the new stream replaces these entries.
+		h.entries = old.entries
 	}
-	r.hosts[host.GetAddress()] = f
+	r.hosts[host.GetAddress()] = h
 	r.cfg.Log.Info("host follows", "host", host.GetAddress(), "data-centre", host.GetDataCentre())
 }
 
-// present returns a host if the stream is its newest; mu is held.
-func (r *Roster) present(stream uint64, host string) *following {
-	if f := r.hosts[host]; f != nil && f.stream == stream {
-		return f
+// currentHost returns a host if the stream is its newest, or nil; the caller holds mu.
+func (r *Roster) currentHost(stream uint64, host string) *hostState {
+	if h := r.hosts[host]; h != nil && h.stream == stream {
+		return h
 	}
 	return nil
 }
 
-// UpdateHost takes in a control host's word in a term. What it says of another term's roster
-// counts for nothing.
-func (r *Roster) UpdateHost(stream uint64, host string, term uint64, news *schema.HostNews) {
+// UpdateHost applies an update that a control host sent in a term. A roster position of
+// another term is ignored.
+func (r *Roster) UpdateHost(stream uint64, host string, term uint64, update *schema.HostNews) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f := r.present(stream, host)
-	if f == nil {
+	h := r.currentHost(stream, host)
+	if h == nil {
 		return
 	}
-	f.heard = r.cfg.Now()
-	if f.silent {
-		f.silent = false
+	h.lastReceived = r.cfg.Now()
+	if h.silent {
+		h.silent = false
 		r.cfg.Log.Info("host state", "host", host, "silent", false)
 	}
-	f.told = Progress{Revision: news.GetRevision()}
-	if known := PositionOf(news.GetKnown()); known.Term == term {
-		f.told.Change = known.Change
+	h.progress = Progress{Revision: update.GetRevision()}
+	if known := PositionOf(update.GetKnown()); known.Term == term {
+		h.progress.Change = known.Change
 	}
-	f.behind = news.GetBehind()
-	if f.lagging != news.GetLagging() {
-		f.lagging = news.GetLagging()
-		r.cfg.Log.Info("host state", "host", host, "silent", false, "lagging", f.lagging)
+	h.behindEntries = update.GetBehind()
+	if h.lagging != update.GetLagging() {
+		h.lagging = update.GetLagging()
+		r.cfg.Log.Info("host state", "host", host, "silent", false, "lagging", h.lagging)
 	}
-	if news.GetLoadsTold() {
-		r.count(f.loads, -1)
-		r.count(news.GetLoads(), 1)
-		f.loads = news.GetLoads()
+	if update.GetLoadsTold() {
+		r.addRequests(h.loads, -1)
+		r.addRequests(update.GetLoads(), 1)
+		h.loads = update.GetLoads()
 	}
-	if news.GetEntriesTold() {
-		f.entries = news.GetEntries()
+	if update.GetEntriesTold() {
+		h.entries = update.GetEntries()
 	}
-	if len(f.entries) != f.count && f.heard.Sub(f.counted) >= entriesLogged {
-		f.count, f.counted = len(f.entries), f.heard
-		r.cfg.Log.Info("entries of host", "host", host, "count", f.count)
+	if len(h.entries) != h.loggedCount && h.lastReceived.Sub(h.loggedAt) >= entryCountLogInterval {
+		h.loggedCount, h.loggedAt = len(h.entries), h.lastReceived
+		r.cfg.Log.Info("entries of host", "host", host, "count", h.loggedCount)
 	}
 }
 
-// HostSilent reports whether a host's stream has been silent for too long: it is ended, so
-// that a host which hears and is not heard does not take itself for one that is.
+// HostSilent reports whether a host's stream has been silent for too long or is not its
+// newest. The caller ends such a stream, so that a host that receives but can't send does
+// not take itself for connected.
 func (r *Roster) HostSilent(stream uint64, host string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f := r.present(stream, host)
-	return f == nil || f.silent
+	h := r.currentHost(stream, host)
+	return h == nil || h.silent
 }
 
-// HostLagging reports whether a host has said that it tells entries nothing.
+// HostLagging reports whether a host has reported that it sends no updates to entries.
 func (r *Roster) HostLagging(stream uint64, host string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f := r.present(stream, host)
-	return f != nil && f.lagging
+	h := r.currentHost(stream, host)
+	return h != nil && h.lagging
 }
 
-// HostDisconnected notes the end of a control host's stream.
+// HostDisconnected records the end of a control host's stream.
 func (r *Roster) HostDisconnected(stream uint64, host string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if f := r.present(stream, host); f != nil && !f.silent {
-		r.fallSilent(f, "its stream ended")
+	if h := r.currentHost(stream, host); h != nil && !h.silent {
+		r.markSilent(h, "its stream ended")
 	}
 }
 
-// fallSilent leaves a host out; mu is held.
-func (r *Roster) fallSilent(f *following, reason string) {
-	f.silent = true
-	// What its entries had at engines is not known to have ended, but nobody says so
-	// either.
-	r.count(f.loads, -1)
-	f.loads = nil
-	r.cfg.Log.Info("host state", "host", f.host.GetAddress(), "silent", true, "reason", reason, "entries", len(f.entries))
+// markSilent excludes a host; the caller holds mu.
+func (r *Roster) markSilent(h *hostState, reason string) {
+	h.silent = true
+	// Its entries' requests at engines may still run, but nothing reports them any longer.
+	r.addRequests(h.loads, -1)
+	h.loads = nil
+	r.cfg.Log.Info("host state", "host", h.host.GetAddress(), "silent", true, "reason", reason, "entries", len(h.entries))
 }
 
-// SweepHosts leaves out control hosts that have fallen silent, and forgets those that
-// have been so for long, with the entries that attended them.
+// SweepHosts excludes control hosts that have become silent, removes those silent for
+// hostRetention longer together with their entries, and updates the lists.
 func (r *Roster) SweepHosts() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	defer r.list()
-	for address, f := range r.hosts {
-		silent := r.cfg.Now().Sub(f.heard)
-		if !f.silent && silent > hostSilence {
-			r.fallSilent(f, "it says nothing")
+	defer r.updateLists()
+	for address, h := range r.hosts {
+		silent := r.cfg.Now().Sub(h.lastReceived)
+		if !h.silent && silent > hostSilenceTimeout {
+			r.markSilent(h, "no update received")
 		}
-		if f.silent && silent > hostSilence+hostKeep {
+		if h.silent && silent > hostSilenceTimeout+hostRetention {
 			delete(r.hosts, address)
 		}
 	}
 }
 
-// UpdateSince returns what changed after a change number, as a word without a term and without
-// what somebody asked for. All of it is of one moment: a list that changed between two
-// looks would count as told and never be.
+// UpdateSince returns what changed after a change number, as an update without a term and
+// without answers to queries. It is one consistent snapshot: a list that changed between
+// two reads would count as sent and never be sent.
 func (r *Roster) UpdateSince(after uint64) *schema.LeaderNews {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	servers, change := r.since(after)
-	news := &schema.LeaderNews{
-		Servers: servers, Whole: after == 0, Settled: r.settledChange != 0, Confirm: r.awaited > 0,
+	servers, change := r.serversSince(after)
+	update := &schema.LeaderNews{
+		Servers: servers, Whole: after == 0, Settled: r.settledChange != 0, Confirm: r.ackWaiters > 0,
 		Known: Position{Change: change}.Message(),
 	}
 	if r.entriesChange > after {
-		news.Entries = r.entries
+		update.Entries = r.entries
 	}
 	if r.hostsChange > after {
-		news.Hosts = r.hostsListed
+		update.Hosts = r.listedHosts
 	}
-	return news
+	return update
 }
 
-// list makes the lists of control hosts and of entries anew that are told, where they have
-// changed. They are looked at a few times a second only: while all entries restart in turn,
-// or move from host to host, a list of 300 would be told to each of them with every change,
-// 17 KB each time. mu is held.
-func (r *Roster) list() {
-	if r.cfg.Now().Sub(r.began) < listAfter {
+// updateLists rebuilds the lists of control hosts and entries and stores those that
+// changed. It runs only a few times a second: while all entries restart in turn or move
+// from host to host, a list of 300, 17 KB, would otherwise be sent to each of them with
+// every change. The caller holds mu.
+func (r *Roster) updateLists() {
+	if r.cfg.Now().Sub(r.termStart) < listDelay {
 		return
 	}
 	if entries := r.entryList(); !proto.Equal(entries, r.entries) {
-		r.entries, r.entriesChange = entries, r.touch()
+		r.entries, r.entriesChange = entries, r.nextChange()
 	}
-	if hosts := r.hostList(); !proto.Equal(hosts, r.hostsListed) {
-		r.hostsListed, r.hostsChange = hosts, r.touch()
+	if hosts := r.hostList(); !proto.Equal(hosts, r.listedHosts) {
+		r.listedHosts, r.hostsChange = hosts, r.nextChange()
 	}
 }
 
@@ -211,33 +214,35 @@
 func (r *Roster) HasRequests(server, model string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.runs[run{server, model}] > 0
+	return r.requests[serverModel{server, model}] > 0
 }
 
-// run names a model at an engine.
-type run struct{ server, model string }
+// serverModel identifies a model at an engine.
+type serverModel struct{ server, model string }
 
-// count adds what a host's entries have at the engines, or takes it off.
-func (r *Roster) count(loads []*schema.EngineLoad, by int) {
+// addRequests adds by to the count of each model with requests in a host's loads; by is -1
+// to remove them. The caller holds mu.
+func (r *Roster) addRequests(loads []*schema.EngineLoad, by int) {
 	for _, l := range loads {
 		for _, model := range l.GetModels() {
-			at := run{l.GetServer(), model}
-			if r.runs[at] += by; r.runs[at] == 0 {
-				delete(r.runs, at)
+			at := serverModel{l.GetServer(), model}
+			if r.requests[at] += by; r.requests[at] == 0 {
+				delete(r.requests, at)
 			}
 		}
 	}
 }
 
-// maxLoads bounds how many engines' loads are passed on in one word, the
-// busiest: at 25 bytes each and three words a second, 5 KB/s an entry.
+// maxLoads is the maximum number of engines, the busiest ones, whose loads are sent in one
+// update: at 25 bytes each and three updates a second, 5 KB/s for an entry.
 const maxLoads = 64
 
-// Loads returns what all entries have at the engines, as of a moment ago.
+// Loads returns the sum of all entries' loads at the engines, at most loadSumMaxAge old.
+// The caller must not modify it.
 func (r *Roster) Loads() *schema.EngineLoads {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := r.cfg.Now(); r.loads == nil || now.Sub(r.loadsAt) > loadsKeep {
+	if now := r.cfg.Now(); r.loads == nil || now.Sub(r.loadsAt) > loadSumMaxAge {
 		r.loads, r.loadsAt = r.sumLoads(), now
 	}
 	return r.loads
@@ -245,8 +250,8 @@
 
 func (r *Roster) sumLoads() *schema.EngineLoads {
 	sums := map[string]*schema.EngineLoad{}
-	for _, f := range r.hosts {
-		for _, l := range f.loads {
+	for _, h := range r.hosts {
+		for _, l := range h.loads {
 			s := sums[l.GetServer()]
 			if s == nil {
 				s = &schema.EngineLoad{Server: l.GetServer()}
@@ -265,36 +270,36 @@
 	return out
 }
 
-// EntryCount returns the number of entries that attend the control hosts.
+// EntryCount returns the number of entries subscribed to the control hosts.
 func (r *Roster) EntryCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
-	for _, f := range r.hosts {
-		n += len(f.entries)
+	for _, h := range r.hosts {
+		n += len(h.entries)
 	}
 	return n
 }
 
-// hostList is the control hosts that entries can attend; mu is held.
+// hostList returns the control hosts that entries can subscribe to; the caller holds mu.
 func (r *Roster) hostList() *schema.ControlHostList {
 	list := &schema.ControlHostList{}
-	for _, f := range r.hosts {
-		if !f.silent && !f.lagging {
-			list.Hosts = append(list.Hosts, f.host)
+	for _, h := range r.hosts {
+		if !h.silent && !h.lagging {
+			list.Hosts = append(list.Hosts, h.host)
 		}
 	}
-	if len(list.Hosts) > spareLeaderFrom {
+	if len(list.Hosts) > maxHostsWithLeader {
 		list.Hosts = slices.DeleteFunc(list.Hosts, func(h *schema.ControlHost) bool { return h.GetAddress() == r.cfg.Self })
 	}
 	slices.SortFunc(list.Hosts, func(a, b *schema.ControlHost) int { return cmp.Compare(a.GetAddress(), b.GetAddress()) })
 	return list
 }
 
-// entryList is the entries that callers may be sent to; mu is held.
+// entryList returns the entries that callers may be sent to; the caller holds mu.
 func (r *Roster) entryList() *schema.EntryList {
 	list := &schema.EntryList{}
-	for _, a := range r.attending() {
+	for _, a := range r.subscribedEntries() {
 		if !a.GetStopping() {
 			list.Entries = append(list.Entries, a.GetEntry())
 		}
@@ -303,12 +308,12 @@
 	return list
 }
 
-// attending returns every entry once: at the host that it came to last, if it is still
-// believed to be at another as well. mu is held.
-func (r *Roster) attending() map[string]*schema.AttendingEntry {
+// subscribedEntries returns every entry once, by its host: the one with the newest stream,
+// where several control hosts still list it. The caller holds mu.
+func (r *Roster) subscribedEntries() map[string]*schema.AttendingEntry {
 	out := map[string]*schema.AttendingEntry{}
-	for _, f := range r.hosts {
-		for _, a := range f.entries {
+	for _, h := range r.hosts {
+		for _, a := range h.entries {
 			host := a.GetEntry().GetHost()
 			if other := out[host]; other == nil || a.GetStream() > other.GetStream() {
 				out[host] = a
--- a/internal/roster/mirror.go
+++ b/internal/roster/mirror.go
@@ -17,112 +17,114 @@
 	Now func() time.Time
 }
 
-// Mirror is a control host's copy of the leader's roster, by the leader's words. Entries
-// that attend the host are told from it. It outlives a change of leader: what the next
-// leader says is compared with it, and entries are told the difference. All methods are
-// safe from any goroutine.
+// Mirror is a control host's copy of the leader's roster, from which the entries subscribed
+// to the host are updated. It outlives a change of leader: the next leader's updates are
+// compared with it, and entries receive the difference. All methods are safe for concurrent
+// use.
 type Mirror struct {
 	cfg MirrorConfig
 
 	mu sync.Mutex
-	// at is how far the present leader's roster is known, and began where its first word
-	// led; before and beforeBegan are the same of the leader before. Guarded by mu, as all
-	// below.
-	at, began           Position
-	before, beforeBegan Position
-	servers             map[string]*mirrored
-	// recent holds the same servers, the last changed one at the back.
+	// position is how far the current leader's roster is known, and firstPosition the
+	// position of its first update; previousPosition and previousFirstPosition are the same
+	// of the previous leader. Guarded by mu, as all fields below.
+	position, firstPosition                 Position
+	previousPosition, previousFirstPosition Position
+	servers                                 map[string]*mirroredServer
+	// recent holds the same servers, the most recently changed one at the back.
 	recent *list.List
-	// started counts the servers that live and tell their starts, by the server's id.
-	started map[string]int
-	// named are the servers that the present leader has named, and settled is set once all
+	// startCounts counts the live servers that report start times, by server id.
+	startCounts map[string]int
+	// listed are the servers that the current leader has sent. Once settled is set, all
 	// others are gone.
-	named   map[string]bool
+	listed  map[string]bool
 	settled bool
-	// forgotten is the last change that is not remembered any more.
+	// forgotten is the position of the last change that has been removed.
 	forgotten Position
 	entries   *schema.EntryList
 	hosts     *schema.ControlHostList
-	// entriesAt and hostsAt are how far the roster must be known to know these lists.
-	entriesAt, hostsAt Position
-	loads              *schema.EngineLoads
-	forecasts          map[forecastOf]forecast
-	// heard is when, by the leader's last word, a quorum took it for the leader, and revision
-	// what its log had applied as it spoke.
-	heard    time.Time
-	revision uint64
-	// confirmed is a moment at which the leader was one, proved by its answer to this host,
-	// and required what its log had then committed.
+	// entriesPosition and hostsPosition are the positions at which these lists last
+	// changed.
+	entriesPosition, hostsPosition Position
+	loads                          *schema.EngineLoads
+	forecasts                      map[forecastKey]forecast
+	// leaderLastSeen is when a quorum last acknowledged the leader, by its latest update,
+	// and revision what its log had applied when it sent that update.
+	leaderLastSeen time.Time
+	revision       uint64
+	// confirmed is the latest time at which the leader is proved to have led, by its reply
+	// to this host, and required the revision that its log had committed then.
 	confirmed time.Time
 	required  uint64
-	// uses are the teams' uses of their quotas.
-	uses *schema.TeamUses
-	// awaited is set while somebody waits until all entries are told, and unawaited while
-	// the leader does not wait for this host.
-	awaited, unawaited bool
-	// changed is closed and replaced at each change of servers and lists, answered at
-	// each word with forecasts.
-	changed, answered chan struct{}
+	// teamUses are the teams' uses of their quotas.
+	teamUses *schema.TeamUses
+	// acksAwaited is set while the leader awaits acknowledgements of all entries, and
+	// markedLagging while it does not wait for this host.
+	acksAwaited, markedLagging bool
+	// changed is closed and replaced at each change of servers and lists, forecastsUpdated
+	// at each update with forecasts.
+	changed, forecastsUpdated chan struct{}
 }
 
-// mirrored is a server's view, and how far the roster must be known to know it.
-type mirrored struct {
-	view *schema.RosterServer
-	at   Position
-	gone time.Time
-	// place is where it stands among the recent ones.
-	place *list.Element
+// mirroredServer is a server's view and the position at which it last changed.
+type mirroredServer struct {
+	view      *schema.RosterServer
+	position  Position
+	goneSince time.Time
+	// element is the server's element in Mirror.recent.
+	element *list.Element
 }
 
-// forecastOf names what a forecast is of.
-type forecastOf struct{ pool, model, adapter string }
+// forecastKey identifies the target of a forecast.
+type forecastKey struct{ pool, model, adapter string }
 
-// forecast is the leader's word on a load, and when it came.
+// forecast is the leader's forecast of a load, and when it was received.
 type forecast struct {
-	word *schema.LoadForecast
-	at   time.Time
+	message    *schema.LoadForecast
+	receivedAt time.Time
 }
 
-// forecastForget is after how long a forecast is dropped: entries that wait ask for it
+// forecastRetention is how long a forecast is kept. Entries with waiting requests query it
 // three times a second.
-const forecastForget = 2 * time.Second
+const forecastRetention = 2 * time.Second
 
-// NewMirror returns the mirror of nothing.
+// NewMirror returns an empty mirror.
 func NewMirror(cfg MirrorConfig) *Mirror {
 	return &Mirror{
-		cfg: cfg, servers: map[string]*mirrored{}, recent: list.New(), started: map[string]int{}, named: map[string]bool{}, forecasts: map[forecastOf]forecast{},
-		changed: make(chan struct{}), answered: make(chan struct{}),
+		cfg: cfg, servers: map[string]*mirroredServer{}, recent: list.New(), startCounts: map[string]int{}, listed: map[string]bool{}, forecasts: map[forecastKey]forecast{},
+		changed: make(chan struct{}), forecastsUpdated: make(chan struct{}),
 	}
 }
 
-// Apply takes in a word of the leader. It returns false for one of an earlier term.
-func (m *Mirror) Apply(news *schema.LeaderNews) bool {
+// Apply applies an update of the leader. It returns false if the update is of an earlier
+// term.
+func (m *Mirror) Apply(update *schema.LeaderNews) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	at := PositionOf(news.GetKnown())
-	if at.Term < m.at.Term {
+	at := PositionOf(update.GetKnown())
+	if at.Term < m.position.Term {
 		return false
 	}
-	if at.Term > m.at.Term {
-		m.before, m.beforeBegan = m.at, m.began
-		m.began, m.named, m.settled = at, map[string]bool{}, false
+	if at.Term > m.position.Term {
+		m.previousPosition, m.previousFirstPosition = m.position, m.firstPosition
+		m.firstPosition, m.listed, m.settled = at, map[string]bool{}, false
 	}
-	advanced := m.at.Before(at)
+	advanced := m.position.Before(at)
 	if advanced {
-		m.at = at
+		m.position = at
 	}
-	m.heard = m.cfg.Now().Add(-time.Duration(news.GetLeaderAgeMs()) * time.Millisecond)
-	m.revision = news.GetRevision()
-	if news.GetTeamUses() != nil {
-		m.uses = news.GetTeamUses()
+	m.leaderLastSeen = m.cfg.Now().Add(-time.Duration(update.GetLeaderAgeMs()) * time.Millisecond)
+	m.revision = update.GetRevision()
+	if update.GetTeamUses() != nil {
+		m.teamUses = update.GetTeamUses()
 	}
-	m.awaited, m.unawaited = news.GetConfirm(), news.GetLagging()
-	changed := m.takeServers(news)
-	changed = m.takeLists(news) || changed || advanced && m.awaited
-	if news.GetLoads() != nil {
-		m.loads = news.GetLoads()
+	m.acksAwaited, m.markedLagging = update.GetConfirm(), update.GetLagging()
+	changed := m.applyServers(update)
+	changed = m.applyLists(update) || changed || advanced && m.acksAwaited
+	if update.GetLoads() != nil {
+		m.loads = update.GetLoads()
 	}
-	m.takeForecasts(news.GetForecasts())
+	m.applyForecasts(update.GetForecasts())
 	if changed {
 		close(m.changed)
 		m.changed = make(chan struct{})
@@ -130,68 +132,68 @@
 	return true
 }
 
-// takeServers reports whether anything changed; mu is held.
-func (m *Mirror) takeServers(news *schema.LeaderNews) bool {
+// applyServers applies the servers of an update and reports whether any changed; the caller
+// holds mu.
+func (m *Mirror) applyServers(update *schema.LeaderNews) bool {
 	changed := false
-	for _, v := range news.GetServers() {
-		m.named[v.GetId()] = true
-		changed = m.set(v) || changed
+	for _, v := range update.GetServers() {
+		m.listed[v.GetId()] = true
+		changed = m.setServer(v) || changed
 	}
-	if news.GetSettled() && !m.settled {
+	if update.GetSettled() && !m.settled {
 		m.settled, changed = true, true
 		for id, s := range m.servers {
-			if !m.named[id] {
-				m.set(withState(s.view, schema.RosterState_ROSTER_STATE_GONE))
+			if !m.listed[id] {
+				m.setServer(withState(s.view, schema.RosterState_ROSTER_STATE_GONE))
 			}
 		}
 	}
 	return changed
 }
 
-// set takes a server's view in, and reports whether it is another; mu is held.
-func (m *Mirror) set(v *schema.RosterServer) bool {
+// setServer stores a server's view and reports whether it changed; the caller holds mu.
+func (m *Mirror) setServer(v *schema.RosterServer) bool {
 	old := m.servers[v.GetId()]
-	if old != nil && same(old.view, v) {
+	if old != nil && sameView(old.view, v) {
 		return false
 	}
 	if old != nil {
-		m.remove(old)
+		m.removeServer(old)
 	}
-	s := &mirrored{view: v, at: m.at}
+	s := &mirroredServer{view: v, position: m.position}
 	if v.GetState() == schema.RosterState_ROSTER_STATE_GONE {
-		s.gone = m.cfg.Now()
+		s.goneSince = m.cfg.Now()
 	}
-	m.add(s)
+	m.addServer(s)
 	return true
 }
 
-// add takes a server in that is not there; mu is held.
-func (m *Mirror) add(s *mirrored) {
+// addServer adds a server that is not in the mirror; the caller holds mu.
+func (m *Mirror) addServer(s *mirroredServer) {
 	m.servers[s.view.GetId()] = s
-	s.place = m.recent.PushBack(s)
-	if name := incarnation.Parse(s.view.GetId()); name.StartMs != 0 && s.gone.IsZero() {
-		m.started[name.Server]++
+	s.element = m.recent.PushBack(s)
+	if name := incarnation.Parse(s.view.GetId()); name.StartMs != 0 && s.goneSince.IsZero() {
+		m.startCounts[name.Server]++
 	}
 }
 
-// remove leaves a server out; mu is held.
-func (m *Mirror) remove(s *mirrored) {
+// removeServer removes a server; the caller holds mu.
+func (m *Mirror) removeServer(s *mirroredServer) {
 	delete(m.servers, s.view.GetId())
-	m.recent.Remove(s.place)
-	if name := incarnation.Parse(s.view.GetId()); name.StartMs != 0 && s.gone.IsZero() {
-		if m.started[name.Server]--; m.started[name.Server] == 0 {
-			delete(m.started, name.Server)
+	m.recent.Remove(s.element)
+	if name := incarnation.Parse(s.view.GetId()); name.StartMs != 0 && s.goneSince.IsZero() {
+		if m.startCounts[name.Server]--; m.startCounts[name.Server] == 0 {
+			delete(m.startCounts, name.Server)
 		}
 	}
 }
 
-// changedAfter returns the servers that somebody lacks who knows the roster so far; mu is
-// held.
-func (m *Mirror) changedAfter(p Position) []*schema.RosterServer {
+// changedSince returns the servers that changed after a position; the caller holds mu.
+func (m *Mirror) changedSince(p Position) []*schema.RosterServer {
 	var out []*schema.RosterServer
 	for place := m.recent.Back(); place != nil; place = place.Prev() {
-		s := place.Value.(*mirrored)
-		if !p.Before(s.at) {
+		s := place.Value.(*mirroredServer)
+		if !p.Before(s.position) {
 			break
 		}
 		out = append(out, s.view)
@@ -199,119 +201,121 @@
 	return out
 }
 
-// takeLists reports whether anything changed; mu is held.
-func (m *Mirror) takeLists(news *schema.LeaderNews) bool {
+// applyLists applies the lists of an update and reports whether any changed; the caller
+// holds mu.
+func (m *Mirror) applyLists(update *schema.LeaderNews) bool {
 	changed := false
-	if l := news.GetEntries(); l != nil && !proto.Equal(l, m.entries) {
-		m.entries, m.entriesAt, changed = l, m.at, true
+	if l := update.GetEntries(); l != nil && !proto.Equal(l, m.entries) {
+		m.entries, m.entriesPosition, changed = l, m.position, true
 	}
-	if l := news.GetHosts(); l != nil && !proto.Equal(l, m.hosts) {
-		m.hosts, m.hostsAt, changed = l, m.at, true
+	if l := update.GetHosts(); l != nil && !proto.Equal(l, m.hosts) {
+		m.hosts, m.hostsPosition, changed = l, m.position, true
 	}
 	return changed
 }
 
-// takeForecasts needs mu.
-func (m *Mirror) takeForecasts(list []*schema.LoadForecast) {
+// applyForecasts stores forecasts and drops old ones; the caller holds mu.
+func (m *Mirror) applyForecasts(list []*schema.LoadForecast) {
 	if len(list) == 0 {
 		return
 	}
 	now := m.cfg.Now()
 	for _, f := range list {
-		m.forecasts[forecastOf{f.GetPool(), f.GetModel(), f.GetAdapter()}] = forecast{f, now}
+		m.forecasts[forecastKey{f.GetPool(), f.GetModel(), f.GetAdapter()}] = forecast{f, now}
 	}
 	for of, f := range m.forecasts {
-		if now.Sub(f.at) > forecastForget {
+		if now.Sub(f.receivedAt) > forecastRetention {
 			delete(m.forecasts, of)
 		}
 	}
-	close(m.answered)
-	m.answered = make(chan struct{})
+	close(m.forecastsUpdated)
+	m.forecastsUpdated = make(chan struct{})
 }
 
-// Sweep forgets servers that were gone for long.
+// Sweep removes servers that have been gone for goneServerRetention.
 func (m *Mirror) Sweep() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, s := range m.servers {
-		if !s.gone.IsZero() && m.cfg.Now().Sub(s.gone) > forgetAfter {
-			m.remove(s)
-			if m.forgotten.Before(s.at) {
-				m.forgotten = s.at
+		if !s.goneSince.IsZero() && m.cfg.Now().Sub(s.goneSince) > goneServerRetention {
+			m.removeServer(s)
+			if m.forgotten.Before(s.position) {
+				m.forgotten = s.position
 			}
 		}
 	}
 }
 
-// resumes reports whether what changed since a position is all that somebody lacks who
-// knows that much. Where not, all has to be told: a host that heard the leader later
-// compared with other views, and the same change is not known to it. mu is held.
-func (m *Mirror) resumes(p Position) bool {
+// canResume reports whether the changes after a position are all that a subscriber at that
+// position lacks. Otherwise the subscriber needs the whole roster: a host that connected to
+// the leader later compared with other views and does not have the same changes. The caller
+// holds mu.
+func (m *Mirror) canResume(p Position) bool {
 	switch {
 	case p.Term == 0 || p.Before(m.forgotten):
 		return false
-	case p.Term == m.at.Term:
-		return !p.Before(m.began)
-	case p.Term == m.before.Term:
-		return !p.Before(m.beforeBegan) && !m.before.Before(p)
+	case p.Term == m.position.Term:
+		return !p.Before(m.firstPosition)
+	case p.Term == m.previousPosition.Term:
+		return !p.Before(m.previousFirstPosition) && !m.previousPosition.Before(p)
 	}
 	return false
 }
 
-// Since returns what somebody lacks who knows the roster so far, as a word without a
-// sequence. Known is how far it is told by that; not less than it was.
+// Since returns the update for a subscriber at a position, without a sequence number. Its
+// Known is the position that the update leads to, never less than p.
 func (m *Mirror) Since(p Position) *schema.LeaderNews {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	news := &schema.LeaderNews{Whole: !m.resumes(p), Settled: m.settled, Confirm: m.awaited}
-	if news.GetWhole() {
+	update := &schema.LeaderNews{Whole: !m.canResume(p), Settled: m.settled, Confirm: m.acksAwaited}
+	if update.GetWhole() {
 		p = Position{}
 	}
-	news.Servers = m.changedAfter(p)
-	if p.Before(m.entriesAt) {
-		news.Entries = m.entries
+	update.Servers = m.changedSince(p)
+	if p.Before(m.entriesPosition) {
+		update.Entries = m.entries
 	}
-	if p.Before(m.hostsAt) {
-		news.Hosts = m.hosts
+	if p.Before(m.hostsPosition) {
+		update.Hosts = m.hosts
 	}
-	if p.Before(m.at) {
-		p = m.at
+	if p.Before(m.position) {
+		p = m.position
 	}
-	news.Known = p.Message()
-	return news
+	update.Known = p.Message()
+	return update
 }
 
-// HasTargetSince reports whether a server that somebody does not know who knows the roster so
-// far holds one of some targets.
-func (m *Mirror) HasTargetSince(p Position, wants []*schema.ModelDemand) bool {
+// HasTargetSince reports whether a server that changed after a position has one of some
+// targets loaded.
+func (m *Mirror) HasTargetSince(p Position, demands []*schema.ModelDemand) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.ContainsFunc(m.changedAfter(p), func(v *schema.RosterServer) bool { return holdsAny(v, wants) })
+	return slices.ContainsFunc(m.changedSince(p), func(v *schema.RosterServer) bool { return servesAny(v, demands) })
 }
 
-// Forecasts returns the leader's words on some targets that came after a moment, as
-// they are true now.
-func (m *Mirror) Forecasts(wants []*schema.ModelDemand, after time.Time) []*schema.LoadForecast {
+// Forecasts returns the leader's forecasts for some targets that were received after a
+// time, less the time passed since.
+func (m *Mirror) Forecasts(demands []*schema.ModelDemand, after time.Time) []*schema.LoadForecast {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.cfg.Now()
 	var out []*schema.LoadForecast
-	for _, w := range wants {
-		f, known := m.forecasts[forecastOf{w.GetPool(), w.GetModel(), w.GetAdapter()}]
-		if !known || f.at.Before(after) {
+	for _, d := range demands {
+		f, known := m.forecasts[forecastKey{d.GetPool(), d.GetModel(), d.GetAdapter()}]
+		if !known || f.receivedAt.Before(after) {
 			continue
 		}
-		in := f.word.GetReadyInMs()
-		if in > 0 {
-			in = max(in-now.Sub(f.at).Milliseconds(), 0)
+		readyInMs := f.message.GetReadyInMs()
+		if readyInMs > 0 {
+			readyInMs = max(readyInMs-now.Sub(f.receivedAt).Milliseconds(), 0)
 		}
-		out = append(out, &schema.LoadForecast{Pool: w.GetPool(), Model: w.GetModel(), Adapter: w.GetAdapter(), ReadyInMs: in})
+		out = append(out, &schema.LoadForecast{Pool: d.GetPool(), Model: d.GetModel(), Adapter: d.GetAdapter(), ReadyInMs: readyInMs})
 	}
 	return out
 }
 
-// LacksStartTime reports whether a key names no start of a server that tells its starts, as far
-// as the leader has said: see Roster.LacksStart.
+// LacksStartTime reports whether a key has no start time although the leader's updates name
+// a start time for its server: see Roster.LacksStartTime.
 func (m *Mirror) LacksStartTime(id string) bool {
 	name := incarnation.Parse(id)
 	if name.StartMs != 0 {
@@ -319,10 +323,11 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.started[name.Server] > 0
+	return m.startCounts[name.Server] > 0
 }
 
-// Loads returns what all entries have at the engines, as the leader last said.
+// Loads returns the sum of all entries' loads at the engines, as of the leader's latest
+// update.
 func (m *Mirror) Loads() *schema.EngineLoads {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -336,30 +341,30 @@
 	return m.changed
 }
 
-// ForecastsUpdated returns a channel that is closed when the next forecasts come.
+// ForecastsUpdated returns a channel that is closed when the next forecasts are received.
 func (m *Mirror) ForecastsUpdated() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.answered
+	return m.forecastsUpdated
 }
 
 // Position returns how far the leader's roster is known.
 func (m *Mirror) Position() Position {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.at
+	return m.position
 }
 
-// MarkedLagging reports whether the leader, by its last word, does not wait until this host's
-// entries are told.
+// MarkedLagging reports whether the leader, by its latest update, treats this host as
+// lagging and does not wait for acknowledgements of its entries.
 func (m *Mirror) MarkedLagging() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.unawaited
+	return m.markedLagging
 }
 
-// Confirm notes a moment at which the leader is proved to have led, and the log's index up to
-// which a host knows all that was acknowledged by then.
+// Confirm records a time at which the leader is proved to have led, and the revision at
+// which a host has all that was acknowledged by then.
 func (m *Mirror) Confirm(at time.Time, revision uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -368,8 +373,8 @@
 	}
 }
 
-// Confirmed returns the last moment at which the leader is proved to have led, the zero time
-// for never, and the log's index up to which a host knows all that was acknowledged by then.
+// Confirmed returns the latest time at which the leader is proved to have led, the zero
+// time for never, and the revision at which a host has all that was acknowledged by then.
 func (m *Mirror) Confirmed() (at time.Time, revision uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -380,13 +385,13 @@
 func (m *Mirror) TeamUses() *schema.TeamUses {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.uses
+	return m.teamUses
 }
 
-// LeaderLastSeen returns when the leader was last known to lead, the zero time for never, and what its log had
-// applied by then.
+// LeaderLastSeen returns when the leader was last known to lead, the zero time for never,
+// and the revision that its log had applied by then.
 func (m *Mirror) LeaderLastSeen() (at time.Time, revision uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.heard, m.revision
+	return m.leaderLastSeen, m.revision
 }
--- a/internal/roster/mirror_test.go
+++ b/internal/roster/mirror_test.go
@@ -29,96 +29,98 @@
 	return v
 }
 
-// says is the leader's word of a term that leads to a change.
-func says(term, change uint64, servers ...*schema.RosterServer) *schema.LeaderNews {
+// leaderUpdate is a leader's update of a term that leads to a change number.
+func leaderUpdate(term, change uint64, servers ...*schema.RosterServer) *schema.LeaderNews {
 	return &schema.LeaderNews{Known: &schema.RosterPosition{Term: term, Change: change}, Servers: servers}
 }
 
-// entryOf is what an entry knows: a position, and servers by their state.
-type entryOf struct {
-	at      roster.Position
-	servers map[string]schema.RosterState
+// entryCopy is an entry's copy of the roster: its position and the servers' states.
+type entryCopy struct {
+	position roster.Position
+	servers  map[string]schema.RosterState
 }
 
-func newEntryOf() *entryOf { return &entryOf{servers: map[string]schema.RosterState{}} }
+func newEntryCopy() *entryCopy { return &entryCopy{servers: map[string]schema.RosterState{}} }
 
-// hear takes in what a host tells the entry, and returns how many servers that names.
-func (e *entryOf) hear(m *roster.Mirror) int {
-	news := m.Since(e.at)
-	if news.GetWhole() {
+// update applies what a host sends to the entry and returns the number of servers in it.
+func (e *entryCopy) update(m *roster.Mirror) int {
+	update := m.Since(e.position)
+	if update.GetWhole() {
 		clear(e.servers)
 	}
-	for _, s := range news.GetServers() {
+	for _, s := range update.GetServers() {
 		e.servers[s.GetId()] = s.GetState()
 	}
-	e.at = roster.PositionOf(news.GetKnown())
-	return len(news.GetServers())
+	e.position = roster.PositionOf(update.GetKnown())
+	return len(update.GetServers())
 }
 
-// An entry moves between hosts that have heard the same leader, each with words of its
-// own. It is told what it lacks and no more, and misses nothing on the way back to a
-// host that lags behind the one it comes from.
-func TestEntryMovesBetweenHostsWithTheDifference(t *testing.T) {
+// An entry moves between hosts that receive the same leader's updates in different
+// portions. It must receive what it lacks and no more, and miss nothing when it returns to
+// a host that lags behind the other one.
+func TestEntryThatMovesReceivesTheDifference(t *testing.T) {
 	a, _ := newMirror()
 	b, _ := newMirror()
 	for _, m := range []*roster.Mirror{a, b} {
-		m.Apply(says(1, 10, server("s1", ready), server("s2", ready), server("s3", ready)))
+		m.Apply(leaderUpdate(1, 10, server("s1", ready), server("s2", ready), server("s3", ready)))
 	}
-	e := newEntryOf()
-	require.Equal(t, 3, e.hear(a))
-	a.Apply(says(1, 20, server("s1", leaving)))
-	b.Apply(says(1, 12, server("s2", leaving)))
-	require.Equal(t, 1, e.hear(a))
-	require.Zero(t, e.hear(b))
-	require.Equal(t, roster.Position{Term: 1, Change: 20}, e.at)
-	b.Apply(says(1, 25, server("s1", leaving)))
-	require.Equal(t, 1, e.hear(b))
-	a.Apply(says(1, 26, server("s2", leaving)))
-	require.Equal(t, 1, e.hear(a))
+	e := newEntryCopy()
+	require.Equal(t, 3, e.update(a))
+	a.Apply(leaderUpdate(1, 20, server("s1", leaving)))
+	b.Apply(leaderUpdate(1, 12, server("s2", leaving)))
+	require.Equal(t, 1, e.update(a))
+	require.Zero(t, e.update(b))
+	require.Equal(t, roster.Position{Term: 1, Change: 20}, e.position)
+	b.Apply(leaderUpdate(1, 25, server("s1", leaving)))
+	require.Equal(t, 1, e.update(b))
+	a.Apply(leaderUpdate(1, 26, server("s2", leaving)))
+	require.Equal(t, 1, e.update(a))
 	require.Equal(t, map[string]schema.RosterState{"s1": leaving, "s2": leaving, "s3": ready}, e.servers)
 }
 
-// Another host begins to lead and tells everything anew. Entries are told the difference:
-// told everything, hundreds of entries would keep the hosts busy when they are needed.
-func TestChangeOfLeaderTellsEntriesTheDifference(t *testing.T) {
+// Another host becomes the leader and sends its whole roster. Entries must receive only the
+// difference: the whole roster for hundreds of entries would keep the hosts busy just when
+// they are needed.
+func TestEntriesReceiveTheDifferenceAfterALeaderChange(t *testing.T) {
 	m, _ := newMirror()
-	e := newEntryOf()
-	m.Apply(says(1, 90, server("s1", ready, "m"), server("s2", ready), server("s3", ready)))
-	require.Equal(t, 3, e.hear(m))
-	// Numbers of another leader begin anew.
-	m.Apply(says(2, 5, server("s1", ready, "m"), server("s2", leaving)))
-	require.Equal(t, 1, e.hear(m))
+	e := newEntryCopy()
+	m.Apply(leaderUpdate(1, 90, server("s1", ready, "m"), server("s2", ready), server("s3", ready)))
+	require.Equal(t, 3, e.update(m))
+	// Change numbers of another leader start again.
+	m.Apply(leaderUpdate(2, 5, server("s1", ready, "m"), server("s2", leaving)))
+	require.Equal(t, 1, e.update(m))
 	require.Equal(t, ready, e.servers["s3"])
-	settled := says(2, 6)
+	settled := leaderUpdate(2, 6)
 	settled.Settled = true
 	m.Apply(settled)
-	require.Equal(t, 1, e.hear(m))
+	require.Equal(t, 1, e.update(m))
 	require.Equal(t, map[string]schema.RosterState{"s1": ready, "s2": leaving, "s3": gone}, e.servers)
 }
 
-// A word of an earlier leader comes late: it is not taken.
-func TestMirrorTakesNoEarlierLeadersWord(t *testing.T) {
+// An update of an earlier leader arrives late and must not be applied.
+func TestMirrorRejectsUpdatesOfEarlierTerms(t *testing.T) {
 	m, c := newMirror()
-	require.True(t, m.Apply(says(2, 1, server("s", leaving))))
-	heard, _ := m.LeaderLastSeen()
+	require.True(t, m.Apply(leaderUpdate(2, 1, server("s", leaving))))
+	lastSeen, _ := m.LeaderLastSeen()
 	c.now = c.now.Add(time.Second)
-	require.False(t, m.Apply(says(1, 99, server("s", ready))))
+	require.False(t, m.Apply(leaderUpdate(1, 99, server("s", ready))))
 	at, _ := m.LeaderLastSeen()
-	require.Equal(t, heard, at)
-	e := newEntryOf()
-	e.hear(m)
+	require.Equal(t, lastSeen, at)
+	e := newEntryCopy()
+	e.update(m)
 	require.Equal(t, leaving, e.servers["s"])
 }
 
-// An entry knows the leader's roster as of a change that the host has never heard: before
-// the first word of this leader to the host, after the last one of the leader before, or
-// of a leader that the host never followed. What it lacks can't be told; all is.
-func TestEntryIsToldAllWhereTheDifferenceIsNotKnown(t *testing.T) {
+// An entry is at a position that the host has never received: before the first update of
+// this leader to the host, after the last one of the previous leader, or of a leader to
+// which the host was not connected. The difference is unknown, so the entry must receive
+// the whole roster.
+func TestEntryReceivesAllWhereTheDifferenceIsUnknown(t *testing.T) {
 	m, c := newMirror()
-	m.Apply(says(3, 40, server("s1", ready)))
-	m.Apply(says(3, 50))
-	m.Apply(says(5, 7, server("s1", ready)))
-	m.Apply(says(5, 9))
+	m.Apply(leaderUpdate(3, 40, server("s1", ready)))
+	m.Apply(leaderUpdate(3, 50))
+	m.Apply(leaderUpdate(5, 7, server("s1", ready)))
+	m.Apply(leaderUpdate(5, 9))
 	for _, x := range []struct {
 		at    roster.Position
 		whole bool
@@ -137,23 +139,23 @@
 	} {
 		require.Equal(t, x.whole, m.Since(x.at).GetWhole(), x.at)
 	}
-	// A server that is gone for long is forgotten: who does not know that it is gone has
-	// to be told all.
-	m.Apply(says(5, 11, server("s1", gone)))
-	m.Apply(says(5, 12, server("s2", ready)))
+	// A server that has been gone for long is removed. An entry that does not know it as
+	// gone must receive the whole roster.
+	m.Apply(leaderUpdate(5, 11, server("s1", gone)))
+	m.Apply(leaderUpdate(5, 12, server("s2", ready)))
 	c.now = c.now.Add(3 * time.Minute)
 	m.Sweep()
 	require.True(t, m.Since(roster.Position{Term: 5, Change: 10}).GetWhole())
-	news := m.Since(roster.Position{Term: 5, Change: 11})
-	require.False(t, news.GetWhole())
-	require.Len(t, news.GetServers(), 1)
+	update := m.Since(roster.Position{Term: 5, Change: 11})
+	require.False(t, update.GetWhole())
+	require.Len(t, update.GetServers(), 1)
 }
 
-// Hosts and entries are listed again only where the list is another one.
-func TestListsAreToldWhereTheyChange(t *testing.T) {
+// Lists of hosts and entries are sent again only if they differ.
+func TestListsAreSentWhenTheyChange(t *testing.T) {
 	m, _ := newMirror()
 	lists := func(term, change uint64, entries ...string) *schema.LeaderNews {
-		n := says(term, change)
+		n := leaderUpdate(term, change)
 		n.Entries = &schema.EntryList{}
 		for _, e := range entries {
 			n.Entries.Entries = append(n.Entries.Entries, &schema.RosterEntry{Host: e})
@@ -169,15 +171,15 @@
 	require.Len(t, m.Since(roster.Position{Term: 1, Change: 4}).GetEntries().GetEntries(), 2)
 }
 
-// Callers ask when a model will be there. They are told what the leader answered since,
-// less the time that has passed, and nothing that it said before they came.
-func TestForecastsAreOfTheLeadersAnswer(t *testing.T) {
+// Callers wait for a model and query when it will be ready. They must get the leader's
+// forecasts received since the query, less the time passed, and none received before.
+func TestForecastsAreThoseReceivedSinceTheQuery(t *testing.T) {
 	m, c := newMirror()
 	want := []*schema.ModelDemand{{Pool: "p", Model: "m"}}
-	news := says(1, 1)
-	news.Forecasts = []*schema.LoadForecast{{Pool: "p", Model: "m", ReadyInMs: 900}, {Pool: "p", Model: "n", ReadyInMs: -1}}
+	update := leaderUpdate(1, 1)
+	update.Forecasts = []*schema.LoadForecast{{Pool: "p", Model: "m", ReadyInMs: 900}, {Pool: "p", Model: "n", ReadyInMs: -1}}
 	answered := m.ForecastsUpdated()
-	m.Apply(news)
+	m.Apply(update)
 	<-answered
 	asked := c.now
 	c.now = c.now.Add(300 * time.Millisecond)
@@ -190,15 +192,15 @@
 	require.Zero(t, m.Forecasts(want, asked)[0].GetReadyInMs())
 }
 
-// Somebody waits until entries have been told of a change by which nothing becomes other
-// for them. They are told how far they know the roster all the same, at once.
-func TestPositionIsToldWhereSomebodyWaits(t *testing.T) {
+// The leader awaits acknowledgements of a change that does not alter the entries' view. The
+// entries must receive the new position at once all the same.
+func TestPositionIsSentWhileAcksAreAwaited(t *testing.T) {
 	m, _ := newMirror()
-	m.Apply(says(1, 1, server("s", ready)))
+	m.Apply(leaderUpdate(1, 1, server("s", ready)))
 	changed := m.Changed()
-	m.Apply(says(1, 2, server("s", ready)))
+	m.Apply(leaderUpdate(1, 2, server("s", ready)))
 	require.Equal(t, changed, m.Changed())
-	awaited := says(1, 3)
+	awaited := leaderUpdate(1, 3)
 	awaited.Confirm = true
 	m.Apply(awaited)
 	<-changed
--- a/internal/roster/position.go
+++ b/internal/roster/position.go
@@ -2,24 +2,24 @@
 
 import "fennelyard/internal/schema"
 
-// Position is how far somebody knows a leader's roster. The zero value knows nothing.
+// Position is how far a leader's roster is known. The zero value is before every change.
 type Position struct {
-	// Term is the leader's, which numbers the changes of its roster.
+	// Term is the term of the leader, which numbers the changes of its roster.
 	Term, Change uint64
 }
 
-// MaxPosition is further than any roster comes.
+// MaxPosition is after every position that a roster reaches.
 var MaxPosition = Position{Term: ^uint64(0), Change: ^uint64(0)}
 
-// PositionOf returns a position that was told.
+// PositionOf returns the position in a message.
 func PositionOf(m *schema.RosterPosition) Position { return Position{m.GetTerm(), m.GetChange()} }
 
-// Message returns the position as it is told.
+// Message returns the position as a message.
 func (p Position) Message() *schema.RosterPosition {
 	return &schema.RosterPosition{Term: p.Term, Change: p.Change}
 }
 
-// Before reports whether another position knows more.
+// Before reports whether p is an earlier position than q.
 func (p Position) Before(q Position) bool {
 	return p.Term < q.Term || p.Term == q.Term && p.Change < q.Change
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,7 +1,6 @@
-// Package roster is what the leader of the control group believes, from what it
-// hears, of the backend servers and of the entries. Nothing of it is stored but
-// departures, which are in the log: all else is heard again within a few
-// announcements after a change of leader.
+// Package roster is the control group leader's view of the backend servers, the control
+// hosts and the entries, built from what they send. Only departures are stored, in the log;
+// all else is received again within a few announcements after a change of leader.
 package roster
 
 import (
@@ -16,20 +15,20 @@
 )
 
 const (
-	// missedBeats is how many announcements may be missed before a server counts
-	// as gone. An announcement may be seconds late, and a server that is gone in
-	// fact is noticed by the entries' own connections much sooner.
-	missedBeats = 4
-	// settleBeats is after how many announcement times a new leader has heard
-	// every server: one that announced itself elsewhere in vain tries the next
-	// host within a second or two.
-	settleBeats = 5
-	// forgetAfter is how long a gone server's id is kept, to know a late
-	// announcement of it.
-	forgetAfter = 2 * time.Minute
+	// maxMissedAnnouncements is how many announcements a server may miss before it counts
+	// as gone. An announcement may be seconds late, and entries detect a server that has
+	// ended much sooner by their own connections.
+	maxMissedAnnouncements = 4
+	// settleAnnouncements is the number of announcement intervals after which a new leader
+	// has received an announcement of every live server. A server whose announcement to
+	// another host failed tries the next host within a second or two.
+	settleAnnouncements = 5
+	// goneServerRetention is how long a gone server is kept, so that a late announcement of
+	// it is recognized.
+	goneServerRetention = 2 * time.Minute
 )
 
-// Announcement is a backend server's word about one incarnation of itself.
+// Announcement is a backend server's announcement of one of its incarnations.
 type Announcement struct {
 	// ID is the key of the incarnation.
 	ID         string
@@ -39,18 +38,18 @@
 	Slots      int
 	// Leaving is set once the server takes no new work.
 	Leaving bool
-	// Sequence grows with each announcement of an incarnation.
+	// Sequence increases with each announcement of an incarnation.
 	Sequence uint64
 	// Loaded are the models in an engine's accelerator memory.
 	Loaded []*schema.HeldModel
-	// InMemory and OnDisk name the models whose weights the engine has a copy of.
+	// InMemory and OnDisk name the models of whose weights the engine has a copy.
 	InMemory []string
 	OnDisk   []string
-	// Received is when a control host heard it; the zero value: now.
+	// Received is when a control host received the announcement; zero means now.
 	Received time.Time
 }
 
-// ReceivedAt returns when an announcement that is taken in now was heard.
+// ReceivedAt returns when the announcement was received: Received, or now if that is zero.
 func (a *Announcement) ReceivedAt(now time.Time) time.Time {
 	if a.Received.IsZero() {
 		return now
@@ -64,56 +63,57 @@
 	Self string
 	// AnnounceEvery is the time between a server's announcements.
 	AnnounceEvery time.Duration
-	// Departed tells of servers that an earlier leader recorded as leaving.
+	// Departed reports whether an earlier leader recorded a server as leaving.
 	Departed func(id string) bool
 	Now      func() time.Time
 	Log      logr.Logger
 }
 
 type server struct {
-	view     *schema.RosterServer
-	sequence uint64
-	heard    time.Time
-	// change is the roster's change number of the view.
+	view         *schema.RosterServer
+	sequence     uint64
+	lastReceived time.Time
+	// change is the roster's change number at which the view last changed.
 	change uint64
 }
 
-// holder is the incarnation believed to live at an address.
-type holder struct {
+// addressOwner is the incarnation assumed to run at an address.
+type addressOwner struct {
 	id string
-	// challenger is another incarnation that was heard last, or "".
+	// challenger is another incarnation that announced the address last, or "".
 	challenger string
 }
 
-// Roster is the leader's soft state. All methods are safe from any goroutine.
+// Roster is the leader's soft state. All methods are safe for concurrent use.
 type Roster struct {
 	cfg Config
 
 	mu sync.Mutex
-	// began is when this host began to lead; guarded by mu, as all below.
-	began   time.Time
-	change  uint64
-	servers map[string]*server
-	// holders are by address, starts by the server's id.
-	holders map[string]*holder
-	starts  map[string]*start
-	changed chan struct{}
-	// hosts are the control hosts that follow this leader, by address.
-	hosts map[string]*following
-	// runs counts the control hosts whose entries have requests for a model at an engine.
-	runs map[run]int
-	// awaited counts those who wait until the entries have been told.
-	awaited int
+	// termStart is when this host became the leader; guarded by mu, as all fields below.
+	termStart time.Time
+	change    uint64
+	servers   map[string]*server
+	// addressOwners is keyed by address, starts by server id.
+	addressOwners map[string]*addressOwner
+	starts        map[string]*serverStart
+	changed       chan struct{}
+	// hosts are the control hosts connected to this leader, by address.
+	hosts map[string]*hostState
+	// requests counts the control hosts whose entries have requests for a model at an
+	// engine.
+	requests map[serverModel]int
+	// ackWaiters is the number of callers that await acknowledgements of the entries.
+	ackWaiters int
 	// hostsChange and entriesChange are the change numbers of the lists of control hosts
-	// and of entries, and settledChange the one by which the leader has heard every server
-	// that lives; 0: it has not yet.
+	// and entries, and settledChange the one at which every live server was known; 0 means
+	// not yet.
 	hostsChange, entriesChange, settledChange uint64
-	// entries and hostsListed are these lists as they are told; nil: this leader can't know
-	// them yet. They are told to many and not changed.
+	// entries and listedHosts are these lists as sent; nil while this leader doesn't have
+	// them complete. They are shared between updates and must not be modified.
 	entries     *schema.EntryList
-	hostsListed *schema.ControlHostList
-	// loads is the sum of the entries' loads as of loadsAt; it is told to many
-	// entries and not changed.
+	listedHosts *schema.ControlHostList
+	// loads is the sum of the entries' loads as of loadsAt. It is shared between updates
+	// and must not be modified.
 	loads   *schema.EngineLoads
 	loadsAt time.Time
 }
@@ -126,31 +126,31 @@
 }
 
 func (r *Roster) reset() {
-	r.began = r.cfg.Now()
+	r.termStart = r.cfg.Now()
 	r.servers = map[string]*server{}
-	r.holders = map[string]*holder{}
-	r.starts = map[string]*start{}
+	r.addressOwners = map[string]*addressOwner{}
+	r.starts = map[string]*serverStart{}
 	if r.changed == nil {
 		r.changed = make(chan struct{})
 	}
 	if r.hosts == nil {
-		r.hosts = map[string]*following{}
-		r.runs = map[run]int{}
+		r.hosts = map[string]*hostState{}
+		r.requests = map[serverModel]int{}
 	}
 	r.settledChange, r.entriesChange, r.hostsChange = 0, 0, 0
-	r.entries, r.hostsListed = nil, nil
+	r.entries, r.listedHosts = nil, nil
 }
 
-// Reset forgets all servers: this host begins to lead, and what it heard when
-// it led before may be long untrue.
+// Reset removes all servers at the beginning of this host's term as leader: what it
+// received in an earlier term may be long outdated.
 func (r *Roster) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reset()
-	r.touch()
+	r.nextChange()
 }
 
-func (r *Roster) touch() uint64 {
+func (r *Roster) nextChange() uint64 {
 	r.change++
 	close(r.changed)
 	r.changed = make(chan struct{})
@@ -164,13 +164,14 @@
 	return r.changed
 }
 
-// Announce takes an announcement in. It returns false for one that is older
-// than what is known.
+// Announce applies an announcement. It returns false if the announcement is rejected: it is
+// older than the known one, of an earlier start, or of a server whose claim to its address
+// is not confirmed yet.
 func (r *Roster) Announce(a Announcement) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.servers[a.ID]
-	if s != nil && a.Sequence <= s.sequence || !r.succeeds(a) || !r.holds(a) {
+	if s != nil && a.Sequence <= s.sequence || !r.acceptsStart(a) || !r.ownsAddress(a) {
 		return false
 	}
 	state := schema.RosterState_ROSTER_STATE_READY
@@ -189,38 +190,38 @@
 	} else {
 		view.Models = s.view.GetModels()
 	}
-	s.sequence, s.heard = a.Sequence, a.ReceivedAt(r.cfg.Now())
+	s.sequence, s.lastReceived = a.Sequence, a.ReceivedAt(r.cfg.Now())
 	r.setView(s, view)
 	return true
 }
 
-// Restore takes in a server that an earlier leader recorded and that has not been heard
-// yet. One that announces itself at the same address takes its place at once. It
-// returns false where the server is known.
+// Restore adds a server that an earlier leader recorded and that has not announced itself
+// yet. A server that announces itself at the same address replaces it at once. Restore
+// returns false if the server is known.
 func (r *Roster) Restore(a Announcement) bool {
-	// No word of a server that is known is older.
+	// Every announcement of a known server is newer than this one.
 	a.Sequence = 0
-	if r.knowsOther(a.ID) || !r.Announce(a) {
+	if r.hasOtherStart(a.ID) || !r.Announce(a) {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s := r.servers[a.ID]; s != nil && s.sequence == 0 {
-		s.heard = s.heard.Add(-2 * r.cfg.AnnounceEvery)
+		s.lastReceived = s.lastReceived.Add(-2 * r.cfg.AnnounceEvery)
 	}
 	return true
 }
 
-// knowsOther reports whether another start of a server is believed to live.
-func (r *Roster) knowsOther(id string) bool {
+// hasOtherStart reports whether another start of a server is assumed to be running.
+func (r *Roster) hasOtherStart(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h := r.starts[incarnation.ServerOf(id)]
-	return h != nil && h.id != id
+	current := r.starts[incarnation.ServerOf(id)]
+	return current != nil && current.id != id
 }
 
-// ReadyServers returns the servers that take new work, as they are recorded for the next
-// leader.
+// ReadyServers returns the servers that take new work, in the form in which they are
+// recorded for the next leader.
 func (r *Roster) ReadyServers() map[string]*schema.KnownServer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -235,51 +236,51 @@
 	return out
 }
 
-// holds decides between two incarnations at one address. An announcement that
-// was held up by a partition may arrive after its sender has crashed and another
-// server has come at its address; were it believed at once, requests would be
-// refused by the server that lives until its next word. While the present holder
-// speaks, a challenger must be heard twice in a row: what is left on its way from
-// the dead ends there, and a server that lives speaks on.
-func (r *Roster) holds(a Announcement) bool {
-	h := r.holders[a.Address]
-	if h == nil {
-		r.holders[a.Address] = &holder{id: a.ID}
+// ownsAddress decides between two incarnations at one address. An announcement that was
+// delayed by a partition may arrive after its sender has crashed and another server has
+// started at its address. If it were accepted at once, the running server would refuse the
+// requests meant for the other until its next announcement. While the current owner
+// announces itself, a challenger must therefore announce itself twice in a row: a delayed
+// announcement has no successor, and the running server continues to announce itself.
+func (r *Roster) ownsAddress(a Announcement) bool {
+	owner := r.addressOwners[a.Address]
+	if owner == nil {
+		r.addressOwners[a.Address] = &addressOwner{id: a.ID}
 		return true
 	}
-	if h.id == a.ID || incarnation.ServerOf(h.id) == incarnation.ServerOf(a.ID) {
-		// Of starts of one server succeeds has decided.
-		h.id, h.challenger = a.ID, ""
+	if owner.id == a.ID || incarnation.ServerOf(owner.id) == incarnation.ServerOf(a.ID) {
+		// acceptsStart has already decided between starts of one server.
+		owner.id, owner.challenger = a.ID, ""
 		return true
 	}
-	return r.challenge(h, a, "its address announces another server")
+	return r.takeOver(owner, a, "another server announces its address")
 }
 
-// challenge lets an announcement of another incarnation take a holder's place, unless
-// the holder still speaks and the other is heard the first time.
-func (r *Roster) challenge(h *holder, a Announcement, reason string) bool {
-	if r.speaks(h.id) && h.challenger != a.ID {
-		h.challenger = a.ID
-		r.cfg.Log.Info("announcement held back", "server", a.ID, "address", a.Address, "holder", h.id, "sequence", a.Sequence)
+// takeOver lets another incarnation's announcement replace an address's owner, unless the
+// owner has announced itself recently and this is the other's first announcement.
+func (r *Roster) takeOver(owner *addressOwner, a Announcement, reason string) bool {
+	if r.announcedRecently(owner.id) && owner.challenger != a.ID {
+		owner.challenger = a.ID
+		r.cfg.Log.Info("announcement held back", "server", a.ID, "address", a.Address, "holder", owner.id, "sequence", a.Sequence)
 		return false
 	}
-	old := r.servers[h.id]
-	h.id, h.challenger = a.ID, ""
+	old := r.servers[owner.id]
+	owner.id, owner.challenger = a.ID, ""
 	if old != nil {
-		r.gone(old, reason)
+		r.markGone(old, reason)
 	}
 	return true
 }
 
-// speaks reports whether an incarnation was heard within an announcement's time and a
-// half.
-func (r *Roster) speaks(id string) bool {
+// announcedRecently reports whether an incarnation announced itself within the last one and
+// a half announcement intervals.
+func (r *Roster) announcedRecently(id string) bool {
 	s := r.servers[id]
-	return s != nil && r.cfg.Now().Sub(s.heard) < r.cfg.AnnounceEvery*3/2
+	return s != nil && r.cfg.Now().Sub(s.lastReceived) < r.cfg.AnnounceEvery*3/2
 }
 
 func (r *Roster) setView(s *server, view *schema.RosterServer) {
-	if s.view != nil && same(s.view, view) {
+	if s.view != nil && sameView(s.view, view) {
 		return
 	}
 	if s.view != nil && s.view.GetState() != view.GetState() {
@@ -287,10 +288,10 @@
 			"to", view.GetState().String(), "sequence", s.sequence)
 	}
 	s.view = view
-	s.change = r.touch()
+	s.change = r.nextChange()
 }
 
-func same(a, b *schema.RosterServer) bool {
+func sameView(a, b *schema.RosterServer) bool {
 	return a.GetState() == b.GetState() && a.GetPool() == b.GetPool() && a.GetAddress() == b.GetAddress() &&
 		a.GetSlots() == b.GetSlots() && sameModels(a.GetModels(), b.GetModels())
 }
@@ -301,12 +302,12 @@
 	})
 }
 
-func (r *Roster) gone(s *server, reason string) {
+func (r *Roster) markGone(s *server, reason string) {
 	if s.view.GetState() == schema.RosterState_ROSTER_STATE_GONE {
 		return
 	}
 	r.cfg.Log.Info("server gone", "server", s.view.GetId(), "reason", reason,
-		"silent-ms", r.cfg.Now().Sub(s.heard).Milliseconds())
+		"silent-ms", r.cfg.Now().Sub(s.lastReceived).Milliseconds())
 	r.setView(s, withState(s.view, schema.RosterState_ROSTER_STATE_GONE))
 }
 
@@ -317,15 +318,15 @@
 	}
 }
 
-// Depart marks a server that has said that it ends. It returns the change number
-// that entries must have been told of to know it. Entries may know a server from
-// an earlier leader that this one has not heard of: they are told that it is gone.
+// Depart marks a server that has announced its end. It returns the change number that
+// entries must have acknowledged to know of it. Entries may know a server from an earlier
+// leader that has not announced itself to this one: it is sent to them as gone.
 func (r *Roster) Depart(id string) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.servers[id]
 	if s == nil {
-		s = &server{heard: r.cfg.Now()}
+		s = &server{lastReceived: r.cfg.Now()}
 		r.servers[id] = s
 		r.setView(s, &schema.RosterServer{Id: id, State: schema.RosterState_ROSTER_STATE_GONE})
 		return s.change
@@ -336,7 +337,7 @@
 	return s.change
 }
 
-// SetModels records which models an engine holds ready.
+// SetModels records the models that an engine has loaded.
 func (r *Roster) SetModels(id string, models []*schema.HeldModel) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -349,24 +350,24 @@
 	r.setView(s, view)
 }
 
-// Sweep marks servers that have not been heard for long as gone, and forgets
-// those that were gone for very long.
+// Sweep marks servers that have not announced themselves for maxMissedAnnouncements
+// intervals as gone, and removes those silent for goneServerRetention.
 func (r *Roster) Sweep() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.cfg.Now()
 	if r.settledChange == 0 && r.settled() {
-		r.settledChange = r.touch()
+		r.settledChange = r.nextChange()
 	}
 	for id, s := range r.servers {
-		silent := now.Sub(s.heard)
-		if silent > missedBeats*r.cfg.AnnounceEvery {
-			r.gone(s, "silent")
+		silent := now.Sub(s.lastReceived)
+		if silent > maxMissedAnnouncements*r.cfg.AnnounceEvery {
+			r.markGone(s, "silent")
 		}
-		if silent > forgetAfter {
+		if silent > goneServerRetention {
 			delete(r.servers, id)
-			if h := r.holders[s.view.GetAddress()]; h != nil && h.id == id {
-				delete(r.holders, s.view.GetAddress())
+			if owner := r.addressOwners[s.view.GetAddress()]; owner != nil && owner.id == id {
+				delete(r.addressOwners, s.view.GetAddress())
 			}
 			if server := incarnation.ServerOf(id); r.starts[server] != nil && r.starts[server].id == id {
 				delete(r.starts, server)
@@ -375,25 +376,27 @@
 	}
 }
 
-// Settled reports whether this host has led for long enough to have heard every
-// server that lives.
+// Settled reports whether this host has led for long enough to have received an
+// announcement of every live server.
 func (r *Roster) Settled() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.settled()
 }
 
-func (r *Roster) settled() bool { return r.cfg.Now().Sub(r.began) > settleBeats*r.cfg.AnnounceEvery }
+func (r *Roster) settled() bool {
+	return r.cfg.Now().Sub(r.termStart) > settleAnnouncements*r.cfg.AnnounceEvery
+}
 
-// ServersSince returns the servers that changed after a change number, and the number
-// that the answer leads to.
+// ServersSince returns the servers that changed after a change number, and the current
+// change number.
 func (r *Roster) ServersSince(after uint64) ([]*schema.RosterServer, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.since(after)
+	return r.serversSince(after)
 }
 
-func (r *Roster) since(after uint64) ([]*schema.RosterServer, uint64) {
+func (r *Roster) serversSince(after uint64) ([]*schema.RosterServer, uint64) {
 	var out []*schema.RosterServer
 	for _, s := range r.servers {
 		if s.change > after {
@@ -403,43 +406,43 @@
 	return out, r.change
 }
 
-// HasTargetSince reports whether a server that changed after a change number holds one of
-// some targets.
-func (r *Roster) HasTargetSince(after uint64, wants []*schema.ModelDemand) bool {
+// HasTargetSince reports whether a server that changed after a change number has one of
+// some targets loaded.
+func (r *Roster) HasTargetSince(after uint64, demands []*schema.ModelDemand) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.servers {
-		if s.change > after && holdsAny(s.view, wants) {
+		if s.change > after && servesAny(s.view, demands) {
 			return true
 		}
 	}
 	return false
 }
 
-// holdsAny reports whether a server takes new work and holds one of some targets.
-func holdsAny(v *schema.RosterServer, wants []*schema.ModelDemand) bool {
+// servesAny reports whether a server takes new work and has one of some targets loaded.
+func servesAny(v *schema.RosterServer, demands []*schema.ModelDemand) bool {
 	return v.GetState() == schema.RosterState_ROSTER_STATE_READY &&
-		slices.ContainsFunc(wants, func(w *schema.ModelDemand) bool { return holdsTarget(v, w) })
+		slices.ContainsFunc(demands, func(d *schema.ModelDemand) bool { return servesTarget(v, d) })
 }
 
-func holdsTarget(v *schema.RosterServer, w *schema.ModelDemand) bool {
-	return v.GetPool() == w.GetPool() && slices.ContainsFunc(v.GetModels(), func(m *schema.HeldModel) bool {
-		return m.GetName() == w.GetModel() && (w.GetAdapter() == "" || slices.Contains(m.GetAdapters(), w.GetAdapter()))
+func servesTarget(v *schema.RosterServer, d *schema.ModelDemand) bool {
+	return v.GetPool() == d.GetPool() && slices.ContainsFunc(v.GetModels(), func(m *schema.HeldModel) bool {
+		return m.GetName() == d.GetModel() && (d.GetAdapter() == "" || slices.Contains(m.GetAdapters(), d.GetAdapter()))
 	})
 }
 
-// Gone reports whether a server that was known has ended, or is silent for so long that it
-// counts as such.
+// Gone reports whether a known server has ended or has been silent for so long that it
+// counts as ended.
 func (r *Roster) Gone(id string) bool {
-	return r.is(id, schema.RosterState_ROSTER_STATE_GONE)
+	return r.inState(id, schema.RosterState_ROSTER_STATE_GONE)
 }
 
-// Ready reports whether a server takes new work, as far as is known.
+// Ready reports whether a server is known to take new work.
 func (r *Roster) Ready(id string) bool {
-	return r.is(id, schema.RosterState_ROSTER_STATE_READY)
+	return r.inState(id, schema.RosterState_ROSTER_STATE_READY)
 }
 
-func (r *Roster) is(id string, state schema.RosterState) bool {
+func (r *Roster) inState(id string, state schema.RosterState) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.servers[id]
--- a/internal/roster/starts.go
+++ b/internal/roster/starts.go
@@ -6,53 +6,54 @@
 	"fennelyard/internal/incarnation"
 )
 
-// lateEnd is for how long after a server's new start was first heard a word that the
-// server ends, which names no start, is taken for the start before, if that one was
-// leaving: such words come seconds late, and are sent again where the answer was lost.
-const lateEnd = 5 * time.Second
+// lateEndWindow is how long after the first announcement of a server's new start an end
+// report without a start time is attributed to the previous start, if that one was leaving.
+// Such reports arrive seconds late, and are sent again where the reply was lost.
+const lateEndWindow = 5 * time.Second
 
-// start is the start of a server that is believed to live.
-type start struct {
-	// id is the incarnation's key.
+// serverStart is the start of a server that is assumed to be running.
+type serverStart struct {
+	// id is the key of the incarnation.
 	id string
-	// before is the leaving start that this one came after, "": none, and since is when
-	// this one was first heard.
-	before string
-	since  time.Time
+	// predecessor is the leaving start that this one replaced, "" for none, and
+	// firstReceived is when this one was first announced.
+	predecessor   string
+	firstReceived time.Time
 }
 
-// succeeds decides between two starts of one server. A later one has ended the earlier
-// by being there, and counts from its first word: it holds nothing of what the earlier
-// one held, and every request that counts on it is refused. A word of an earlier start
-// is late and undoes nothing for as long as the later one speaks; several may come at
-// once, as a partition heals. If the later one is silent the server's clock was set back
-// between the two, and the start with the smaller time is the later.
-func (r *Roster) succeeds(a Announcement) bool {
+// acceptsStart decides between two starts of one server. A later start proves that the
+// earlier one has ended and counts from its first announcement: it has none of the earlier
+// one's models, and every request that relies on these is refused. An announcement of an
+// earlier start is late and has no effect as long as the later one announces itself;
+// several may arrive at once when a partition heals. If the later start is silent, the
+// server's clock was set back between the two, and the start with the smaller time is the
+// later one.
+func (r *Roster) acceptsStart(a Announcement) bool {
 	name := incarnation.Parse(a.ID)
-	h := r.starts[name.Server]
+	current := r.starts[name.Server]
 	switch {
-	case h == nil:
-		r.starts[name.Server] = &start{id: a.ID, since: r.cfg.Now()}
+	case current == nil:
+		r.starts[name.Server] = &serverStart{id: a.ID, firstReceived: r.cfg.Now()}
 		return true
-	case h.id == a.ID:
+	case current.id == a.ID:
 		return true
 	case name.StartMs == 0:
-		// Not the server's own: see LacksStart.
+		// Not sent by the server itself: see LacksStartTime.
 		return false
-	case incarnation.Parse(h.id).StartMs > name.StartMs:
-		if r.speaks(h.id) {
-			r.cfg.Log.Info("announcement of an earlier start", "server", a.ID, "present", h.id, "sequence", a.Sequence)
+	case incarnation.Parse(current.id).StartMs > name.StartMs:
+		if r.announcedRecently(current.id) {
+			r.cfg.Log.Info("announcement of an earlier start", "server", a.ID, "present", current.id, "sequence", a.Sequence)
 			return false
 		}
-		r.endStart(h, a.ID, "an earlier start of the server is heard, and no later one")
+		r.replaceStart(current, a.ID, "an earlier start of the server announces itself, and no later one does")
 		return true
 	}
-	r.endStart(h, a.ID, "the server has started again")
+	r.replaceStart(current, a.ID, "the server has started again")
 	return true
 }
 
-// LacksStartTime reports whether a key names no start of a server that tells its starts: the
-// word that it came with is somebody else's.
+// LacksStartTime reports whether a key has no start time although its server reports start
+// times: the message with this key was sent by somebody else.
 func (r *Roster) LacksStartTime(id string) bool {
 	name := incarnation.Parse(id)
 	if name.StartMs != 0 {
@@ -60,33 +61,33 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h := r.starts[name.Server]
-	return h != nil && incarnation.Parse(h.id).StartMs != 0
+	current := r.starts[name.Server]
+	return current != nil && incarnation.Parse(current.id).StartMs != 0
 }
 
-// endStart puts a start in the place of the one believed to live.
-func (r *Roster) endStart(h *start, id, reason string) {
-	old := h.id
-	*h = start{id: id, since: r.cfg.Now()}
+// replaceStart replaces the start assumed to be running.
+func (r *Roster) replaceStart(current *serverStart, id, reason string) {
+	old := current.id
+	*current = serverStart{id: id, firstReceived: r.cfg.Now()}
 	if r.cfg.Departed(old) {
-		h.before = old
+		current.predecessor = old
 	}
 	if s := r.servers[old]; s != nil {
-		r.gone(s, reason)
+		r.markGone(s, reason)
 	}
 }
 
-// EndingIncarnation returns the key of the start that a server means that says that it ends, as
-// far as is known: the server's id where none is.
+// EndingIncarnation returns the key of the start that a server's end report without a start
+// time refers to, as far as is known; the server's id if no start is known.
 func (r *Roster) EndingIncarnation(server string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	h := r.starts[server]
+	current := r.starts[server]
 	switch {
-	case h == nil:
+	case current == nil:
 		return incarnation.Name{Server: server}.String()
-	case h.before != "" && r.cfg.Now().Sub(h.since) < lateEnd:
-		return h.before
+	case current.predecessor != "" && r.cfg.Now().Sub(current.firstReceived) < lateEndWindow:
+		return current.predecessor
 	}
-	return h.id
+	return current.id
 }
