--- a/internal/quarantine/completed.go
+++ b/internal/quarantine/completed.go
@@ -8,58 +8,59 @@
 )
 
 const (
-	// lately is for how long a request that has run to its end does not count as one that
-	// ends servers: what many callers ask runs to its end at each entry more often.
-	lately = 30 * time.Second
-	// completedSlots is how many requests are remembered, in 128 KB. Two that meet in a
-	// slot are told apart; the later one stays.
+	// completionRetention is how long a completed request is exempt from suspicion. A
+	// request sent by many callers completes at each entry more often than that.
+	completionRetention = 30 * time.Second
+	// completedSlots is the number of completed requests that are remembered, in 128 KB. If
+	// two share a slot, the later one replaces the other; the hash still distinguishes
+	// them.
 	completedSlots = 8192
 )
 
-// Completed remembers which requests have lately run to their end here. A rack that loses
-// its power ends several servers under whatever is asked most, and nothing that is held back
-// can show any more that it harms nobody. Harmful requests never run to their end. All
-// methods are safe from any goroutine.
+// Completed records which requests completed recently at this entry. When a rack loses
+// power, several servers end while they run the most frequent requests; once these are held
+// back, they could no longer prove themselves harmless. A harmful request never completes.
+// All methods are safe for concurrent use.
 type Completed struct {
 	now  func() time.Time
 	seed maphash.Seed
 
 	mu sync.Mutex
-	// slots are by the low bits of a request's sum; guarded by mu.
+	// slots is indexed by the low bits of a request's hash; guarded by mu.
 	slots [completedSlots]completion
 }
 
-// completion is when a request last ran to its end, by its sum.
+// completion is the hash of a request and when it last completed.
 type completion struct {
-	sum uint64
-	at  time.Time
+	hash uint64
+	at   time.Time
 }
 
-// NewCompleted returns a memory of nothing.
+// NewCompleted returns a Completed without requests.
 func NewCompleted(now func() time.Time) *Completed {
 	return &Completed{now: now, seed: maphash.MakeSeed()}
 }
 
-// Record notes that a request has run to its end.
+// Record records that a request has completed.
 func (c *Completed) Record(r Request) {
-	sum := r.sum(c.seed)
+	hash := r.hash(c.seed)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.slots[sum%completedSlots] = completion{sum, c.now()}
+	c.slots[hash%completedSlots] = completion{hash, c.now()}
 }
 
-// Recently reports whether a request has lately run to its end.
+// Recently reports whether a request has completed within completionRetention.
 func (c *Completed) Recently(r Request) bool {
-	sum := r.sum(c.seed)
+	hash := r.hash(c.seed)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	slot := &c.slots[sum%completedSlots]
-	return slot.sum == sum && !slot.at.IsZero() && c.now().Sub(slot.at) < lately
+	slot := &c.slots[hash%completedSlots]
+	return slot.hash == hash && !slot.at.IsZero() && c.now().Sub(slot.at) < completionRetention
 }
 
-// sum tells requests apart within this process. Its seed is secret: nobody can make a
-// request that passes for another.
-func (r Request) sum(seed maphash.Seed) uint64 {
+// hash returns a hash that identifies a request within this process. Its seed is secret, so
+// that nobody can forge a request with the hash of another.
+func (r Request) hash(seed maphash.Seed) uint64 {
 	var h maphash.Hash
 	h.SetSeed(seed)
 	var length [8]byte
--- a/internal/quarantine/completed_test.go
+++ b/internal/quarantine/completed_test.go
@@ -9,31 +9,32 @@
 	"fennelyard/internal/quarantine"
 )
 
-// What has run to its end here is known for a while, and nothing else is: a harmful request
-// must not pass for an ordinary one that differs in its body alone.
+// A completed request is exempt for a while. A harmful request that differs from it in its
+// body alone must not be exempt with it.
 func TestCompleted(t *testing.T) {
 	c := &clock{time.Unix(1e9, 0)}
-	done := quarantine.NewCompleted(c.now)
+	completed := quarantine.NewCompleted(c.now)
 	ran, other := quarantine.Request{Target: "/a", Body: []byte("1")}, quarantine.Request{Target: "/a", Body: []byte("2")}
-	require.False(t, done.Recently(ran))
-	done.Record(ran)
-	require.True(t, done.Recently(ran))
-	require.False(t, done.Recently(other))
-	c.at = c.at.Add(20 * time.Second)
-	require.True(t, done.Recently(ran))
-	c.at = c.at.Add(11 * time.Second)
-	require.False(t, done.Recently(ran))
+	require.False(t, completed.Recently(ran))
+	completed.Record(ran)
+	require.True(t, completed.Recently(ran))
+	require.False(t, completed.Recently(other))
+	c.current = c.current.Add(20 * time.Second)
+	require.True(t, completed.Recently(ran))
+	c.current = c.current.Add(11 * time.Second)
+	require.False(t, completed.Recently(ran))
 }
 
-// What a request costs that nobody suspects: a note that it has run to its end.
+// BenchmarkCompleted measures the cost of a request that is not suspected: recording its
+// completion.
 func BenchmarkCompleted(b *testing.B) {
-	done := quarantine.NewCompleted(time.Now)
+	completed := quarantine.NewCompleted(time.Now)
 	for name, size := range map[string]int{"lookup": 0, "1-kb": 1 << 10, "32-kb": 32 << 10} {
-		q := quarantine.Request{Method: "POST", Host: "h.example", Target: "/chat/completions", Body: make([]byte, size)}
+		request := quarantine.Request{Method: "POST", Host: "h.example", Target: "/chat/completions", Body: make([]byte, size)}
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				done.Record(q)
+				completed.Record(request)
 			}
 		})
 	}
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -11,124 +11,128 @@
 	"fennelyard/internal/relay"
 )
 
-// awaitMost bounds how long a repeat waits for what becomes known of the servers before it. A
-// process that has ended refuses connections at once; an address that stays silent is of a
-// host that is lost with all that it ran, which says nothing about a request.
-const awaitMost = 250 * time.Millisecond
+// maxProbeWait bounds how long a retry waits for the probes of the servers on which the
+// request failed. An ended process refuses connections at once; an address that does not
+// reply belongs to a host that is lost with everything on it, which is no evidence against
+// the request.
+const maxProbeWait = 250 * time.Millisecond
 
-// tryMost is how long others wait for what becomes of one that tries: it ends its server, runs
-// to its end, or its caller leaves it.
-const tryMost = 30 * time.Second
+// maxTrialDuration is how long other instances of a request wait for the result of a trial:
+// its server ends, it completes, or its caller cancels it.
+const maxTrialDuration = 30 * time.Second
 
 // GuardConfig configures a Guard. All fields are required.
 type GuardConfig struct {
-	// Entry tells this entry from all others.
+	// Entry identifies this entry among all entries.
 	Entry string
-	// Probe tells what becomes of a new connection to a server's address.
+	// Probe connects to a server's address and returns the result.
 	Probe func(ctx context.Context, address string) relay.Presence
-	// OnChange is called when this entry has found what others do not know: the next repeat
-	// comes to any of them.
+	// OnChange is called when this entry has records that other hosts lack. The next repeat
+	// of the request may arrive at any entry.
 	OnChange func()
 	Log      logr.Logger
 }
 
-// Guard decides for one entry which requests are held back from its servers, and which are
-// accused when a server ends. All methods are safe from any goroutine.
+// Guard decides for one entry which requests are held back from its servers, and which
+// requests are recorded against a server that ended. All methods are safe for concurrent
+// use.
 type Guard struct {
-	changed   func()
-	book      *SuspectSet
-	inquest   *ServerProber
+	onChange  func()
+	suspects  *SuspectSet
+	prober    *ServerProber
 	completed *Completed
 	log       logr.Logger
 
 	mu sync.Mutex
-	// tries are of requests whose time is over for which they were held back; guarded by mu.
-	tries map[Key]try
+	// trials are the trials of requests whose hold has expired; guarded by mu.
+	trials map[Key]trial
 }
 
-// try is the only one of a request's repeats that may reach a server.
-type try struct {
-	by *KeyedRequest
-	// until is when the next may try, where nothing has become of this one.
+// trial is the one instance of a request that may reach a server after the hold has
+// expired.
+type trial struct {
+	request *KeyedRequest
+	// until is when another instance may try if this one has had no result.
 	until time.Time
 }
 
-// NewGuard starts a guard that suspects no request.
+// NewGuard starts a guard without suspected requests.
 func NewGuard(cfg GuardConfig) *Guard {
 	log := cfg.Log.WithName("quarantine")
 	g := &Guard{
-		changed:   cfg.OnChange,
-		book:      NewSuspectSet(SuspectSetConfig{Entry: cfg.Entry, Now: time.Now, Log: log}),
+		onChange:  cfg.OnChange,
+		suspects:  NewSuspectSet(SuspectSetConfig{Entry: cfg.Entry, Now: time.Now, Log: log}),
 		completed: NewCompleted(time.Now),
 		log:       log,
-		tries:     map[Key]try{},
+		trials:    map[Key]trial{},
 	}
-	g.inquest = NewServerProber(ServerProberConfig{Probe: cfg.Probe, OnEnded: g.accuse, Log: cfg.Log.WithName("inquest")})
+	g.prober = NewServerProber(ServerProberConfig{Probe: cfg.Probe, OnEnded: g.recordEnded, Log: cfg.Log.WithName("inquest")})
 	return g
 }
 
-// Close ends the guard's inquest.
-func (g *Guard) Close() { g.inquest.Close() }
+// Close stops the guard's prober.
+func (g *Guard) Close() { g.prober.Close() }
 
-// Suspects is what the entry knows.
-func (g *Guard) Suspects() *SuspectSet { return g.book }
+// Suspects returns the requests that the entry suspects.
+func (g *Guard) Suspects() *SuspectSet { return g.suspects }
 
-// HeldBack returns for how long a request is held back, and whether it is: servers ended
-// that ran it. It is looked at before each attempt: the word may come while the request
-// waits, or from its own last attempt. Once the time is over, one subject may try.
-func (g *Guard) HeldBack(s *KeyedRequest) (time.Duration, bool) {
-	if !g.suspects(s) {
+// HeldBack returns how long a request is held back, and whether it is, because servers
+// ended that ran it. It is called before each attempt: a record may arrive while the
+// request waits, or result from its own last attempt. Once the hold has expired, one
+// instance may try.
+func (g *Guard) HeldBack(r *KeyedRequest) (time.Duration, bool) {
+	if !g.maybeSuspect(r) {
 		return 0, false
 	}
-	left, held := g.book.HeldBack(s.Key())
+	left, held := g.suspects.HeldBack(r.Key())
 	switch {
 	case !held:
 		return 0, false
-	case g.completed.Recently(s.Request):
-		// Others have met servers that ended; here it has run to its end.
-		g.Clear(s.Key())
+	case g.completed.Recently(r.Request):
+		// It is recorded against servers elsewhere, but has completed here.
+		g.Clear(r.Key())
 		return 0, false
 	case left > 0:
 		return left, true
 	}
-	return g.tryOrWait(s)
+	return g.startTrialOrWait(r)
 }
 
-// tryOrWait returns how long a subject has to wait for another that tries; where none does, it
-// tries itself.
-func (g *Guard) tryOrWait(s *KeyedRequest) (time.Duration, bool) {
+// startTrialOrWait starts a trial with a request, or returns how long it has to wait for
+// another instance's trial.
+func (g *Guard) startTrialOrWait(r *KeyedRequest) (time.Duration, bool) {
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	maps.DeleteFunc(g.tries, func(_ Key, t try) bool { return !now.Before(t.until) })
-	t, trying := g.tries[s.Key()]
-	if trying && t.by != s {
+	maps.DeleteFunc(g.trials, func(_ Key, t trial) bool { return !now.Before(t.until) })
+	t, running := g.trials[r.Key()]
+	if running && t.request != r {
 		return t.until.Sub(now), true
 	}
-	if !trying {
-		g.tries[s.Key()] = try{s, now.Add(tryMost)}
-		g.log.Info("request tries again", "key", s.Key().String())
+	if !running {
+		g.trials[r.Key()] = trial{r, now.Add(maxTrialDuration)}
+		g.log.Info("request tries again", "key", r.Key().String())
 	}
 	return 0, false
 }
 
-// AwaitProbes waits, before an attempt, until it is known whether the servers have ended at which
-// the request has broken off, where these are enough for it to be held back. Attempts
-// otherwise follow each other faster than the first server's end is found out, and one request
-// ends a server with each that it has left.
-func (g *Guard) AwaitProbes(ctx context.Context, s *KeyedRequest) {
-	if g.inquest.Idle() {
+// AwaitProbes waits, before an attempt, for the probes of the servers on which the request
+// failed, if these are enough to hold it back. Otherwise attempts follow each other faster
+// than the end of the first server is detected, and one request ends a server with each of
+// its remaining attempts.
+func (g *Guard) AwaitProbes(ctx context.Context, r *KeyedRequest) {
+	if g.prober.Idle() {
 		return
 	}
-	timer := time.NewTimer(awaitMost)
+	timer := time.NewTimer(maxProbeWait)
 	defer timer.Stop()
 	for {
-		open, concluded := g.inquest.Pending(s.Key())
-		if open == 0 || open+g.book.UnclearedCount(s.Key()) < enough {
+		pending, finished := g.prober.Pending(r.Key())
+		if pending == 0 || pending+g.suspects.UnclearedCount(r.Key()) < holdThreshold {
 			return
 		}
 		select {
-		case <-concluded:
+		case <-finished:
 		case <-timer.C:
 			return
 		case <-ctx.Done():
@@ -137,41 +141,41 @@
 	}
 }
 
-// suspects reports whether a request may be under suspicion. For most it costs no digest of
-// the body.
-func (g *Guard) suspects(s *KeyedRequest) bool {
-	return !g.book.Empty() && g.book.MayContain(s.Hint())
+// maybeSuspect reports whether a request may be suspected. For most requests it needs no
+// digest of the body.
+func (g *Guard) maybeSuspect(r *KeyedRequest) bool {
+	return !g.suspects.Empty() && g.suspects.MayContain(r.Hint())
 }
 
-// AttemptFailed has the end of a server looked into at which an attempt broke off. A request that
-// has just run to its end elsewhere has not ended this server.
-func (g *Guard) AttemptFailed(s *KeyedRequest, server, address string) {
-	if !g.completed.Recently(s.Request) {
-		g.inquest.AttemptFailed(server, address, s.Key())
+// AttemptFailed starts a probe of the server on which an attempt broke off. A request that
+// has just completed on another server did not end this one.
+func (g *Guard) AttemptFailed(r *KeyedRequest, server, address string) {
+	if !g.completed.Recently(r.Request) {
+		g.prober.AttemptFailed(server, address, r.Key())
 	}
 }
 
-// AttemptCompleted notes that a server lived through a request.
-func (g *Guard) AttemptCompleted(s *KeyedRequest) {
-	g.completed.Record(s.Request)
-	if g.suspects(s) {
-		g.Clear(s.Key())
+// AttemptCompleted records that a server completed a request.
+func (g *Guard) AttemptCompleted(r *KeyedRequest) {
+	g.completed.Record(r.Request)
+	if g.maybeSuspect(r) {
+		g.Clear(r.Key())
 	}
 }
 
-// Clear notes that a request does not end servers. It reports whether that is news.
+// Clear records that a request does not end servers. It reports whether this is new.
 func (g *Guard) Clear(key Key) bool {
-	news := g.book.Clear(key)
-	if news {
-		g.changed()
+	changed := g.suspects.Clear(key)
+	if changed {
+		g.onChange()
 	}
-	return news
+	return changed
 }
 
-// accuse notes that a server ended under requests.
-func (g *Guard) accuse(server string, keys []Key) {
+// recordEnded records that a server ended while it ran some requests.
+func (g *Guard) recordEnded(server string, keys []Key) {
 	for _, key := range keys {
-		g.book.RecordEnded(key, server)
+		g.suspects.RecordEnded(key, server)
 	}
-	g.changed()
+	g.onChange()
 }
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -14,75 +14,76 @@
 	"fennelyard/internal/relay"
 )
 
-// One request was repeated at five servers within eight milliseconds, and five ended: each
-// attempt went out before the end of the first server had been found out. Before a fourth
-// attempt the inquiries into the first three are awaited. An ordinary request waits only there,
-// and not for an address that stays silent: that one's host is lost, with all that it ran.
-func TestRepeatsWaitForWhatBecomesKnownOfTheirServers(t *testing.T) {
-	const asked = 40 * time.Millisecond
+// One request was retried on five servers within eight milliseconds, and all five ended:
+// each attempt was sent before the end of the first server was detected. Before a fourth
+// attempt the request must wait for the first three probes. An ordinary request waits only
+// in that case, and not for an address that does not reply, whose host is lost with
+// everything on it.
+func TestRepeatsWaitForProbesOfTheirServers(t *testing.T) {
+	const probeTime = 40 * time.Millisecond
 	for name, x := range map[string]struct {
-		answer relay.Presence
-		broken int
+		result relay.Presence
+		failed int
 		waits  time.Duration
 		held   bool
 	}{
 		"two servers ended":         {relay.PresenceRefused, 2, 0, false},
-		"three servers ended":       {relay.PresenceRefused, 3, asked, true},
-		"three servers live":        {relay.PresenceListening, 3, 3*asked + 100*time.Millisecond, false},
+		"three servers ended":       {relay.PresenceRefused, 3, probeTime, true},
+		"three servers are running": {relay.PresenceListening, 3, 3*probeTime + 100*time.Millisecond, false},
 		"three hosts are lost":      {relay.PresenceSilent, 3, 250 * time.Millisecond, false},
-		"the fourth of four is due": {relay.PresenceRefused, 4, asked, true},
+		"the fourth of four is due": {relay.PresenceRefused, 4, probeTime, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := quarantine.NewGuard(quarantine.GuardConfig{
 					Entry: "entry",
 					Probe: func(context.Context, string) relay.Presence {
-						if x.answer == relay.PresenceSilent {
+						if x.result == relay.PresenceSilent {
 							time.Sleep(500 * time.Millisecond)
 						}
-						time.Sleep(asked)
-						return x.answer
+						time.Sleep(probeTime)
+						return x.result
 					},
 					OnChange: func() {}, Log: logr.Discard(),
 				})
 				defer g.Close()
-				s := quarantine.NewKeyedRequest(quarantine.Request{Method: "PUT", Target: "/book", Body: []byte("harmful")})
+				request := quarantine.NewKeyedRequest(quarantine.Request{Method: "PUT", Target: "/book", Body: []byte("harmful")})
 				other := quarantine.NewKeyedRequest(quarantine.Request{Method: "PUT", Target: "/book", Body: []byte("ordinary")})
-				for i := range x.broken {
-					g.AttemptFailed(s, fmt.Sprint("app-", i), fmt.Sprint("a:", i))
+				for i := range x.failed {
+					g.AttemptFailed(request, fmt.Sprint("app-", i), fmt.Sprint("a:", i))
 				}
-				began := time.Now()
+				start := time.Now()
 				g.AwaitProbes(t.Context(), other)
-				require.Zero(t, time.Since(began))
-				g.AwaitProbes(t.Context(), s)
-				require.Equal(t, x.waits, time.Since(began))
-				_, held := g.HeldBack(s)
+				require.Zero(t, time.Since(start))
+				g.AwaitProbes(t.Context(), request)
+				require.Equal(t, x.waits, time.Since(start))
+				_, held := g.HeldBack(request)
 				require.Equal(t, x.held, held)
 			})
 		})
 	}
 }
 
-// Attempts that break off while it is being told that their server has ended are accused as
-// well.
-func TestInquestAccusesWhatBreaksOffMeanwhile(t *testing.T) {
+// Attempts that break off while the end of their server is being reported must be reported
+// as well.
+func TestProberReportsAttemptsThatFailMeanwhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var q *quarantine.ServerProber
+		var prober *quarantine.ServerProber
 		one, two := keyOf("/1"), keyOf("/2")
-		var found []quarantine.Key
-		q = quarantine.NewServerProber(quarantine.ServerProberConfig{
+		var reported []quarantine.Key
+		prober = quarantine.NewServerProber(quarantine.ServerProberConfig{
 			Probe: func(context.Context, string) relay.Presence { return relay.PresenceRefused },
 			OnEnded: func(_ string, keys []quarantine.Key) {
-				if found = append(found, keys...); len(found) == 1 {
-					q.AttemptFailed("s", "a:1", two)
+				if reported = append(reported, keys...); len(reported) == 1 {
+					prober.AttemptFailed("s", "a:1", two)
 				}
 			},
 			Log: logr.Discard(),
 		})
-		defer q.Close()
-		q.AttemptFailed("s", "a:1", one)
+		defer prober.Close()
+		prober.AttemptFailed("s", "a:1", one)
 		synctest.Wait()
-		require.Equal(t, []quarantine.Key{one, two}, found)
-		require.True(t, q.Idle())
+		require.Equal(t, []quarantine.Key{one, two}, reported)
+		require.True(t, prober.Idle())
 	})
 }
--- a/internal/quarantine/key.go
+++ b/internal/quarantine/key.go
@@ -1,6 +1,6 @@
-// Package quarantine finds the requests that end the servers that run them. Under such
-// a request, repeated by its caller, a server after the other ends, and whatever ran
-// beside it breaks off.
+// Package quarantine detects requests that end the servers that run them, and holds them
+// back. If its caller repeats such a request, it ends one server after another, and all
+// other requests on these servers break off.
 package quarantine
 
 import (
@@ -15,23 +15,23 @@
 
 const (
 	hintBytes = 8
-	// digestBytes is the length of a digest: requests that differ share one by chance in
-	// no deployment's life.
+	// digestBytes is the length of a digest, at which a collision of different requests is
+	// practically impossible.
 	digestBytes = 16
 )
 
-// Key names a request, alike each time that its caller repeats it and at every entry: a
-// Hint, and a digest from which nothing of the request can be read.
+// Key identifies a request, equally for each repetition and at every entry: a Hint, and a
+// digest that reveals nothing of the request.
 type Key [hintBytes + digestBytes]byte
 
-// Hint tells most requests apart and is had in a fraction of a microsecond, where the
-// digest of a long body takes as long as sending it on.
+// Hint distinguishes most requests and is computed in a fraction of a microsecond, whereas
+// the digest of a long body takes as long as forwarding it.
 type Hint uint64
 
-// ErrInvalidKey says that a text is no key.
+// ErrInvalidKey is returned for a text that is not a key.
 var ErrInvalidKey = errors.New("not a request's key")
 
-// ParseKey reads what String returns.
+// ParseKey parses the text that Key.String returns.
 func ParseKey(text string) (Key, error) {
 	var k Key
 	data, err := hex.DecodeString(text)
@@ -48,27 +48,28 @@
 // String returns the key in hexadecimal digits.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// Request is what stays the same when a caller repeats a request. Ids and times to wait
-// are new each time.
+// Request holds the parts of a request that stay the same when its caller repeats it. Ids
+// and timeouts differ each time.
 type Request struct {
 	Method string
 	Host   string
-	// Target is the path and query as the caller wrote them.
+	// Target is the path and query as sent by the caller.
 	Target string
-	// Caller is the secret by which the caller is known; empty for one without a name.
+	// Caller is the secret that identifies the caller; empty for an anonymous one.
 	Caller string
 	Body   []byte
 }
 
-// KeyedRequest is a request at one entry. It belongs to one goroutine.
+// KeyedRequest is a request with a key that is computed when first needed. It is for use by
+// one goroutine.
 type KeyedRequest struct {
 	Request
-	// key is the request's, the zero value before it was needed: the digest of a long body
-	// takes as long as sending it on.
+	// key is zero until it is computed: the digest of a long body takes as long as
+	// forwarding it.
 	key Key
 }
 
-// NewKeyedRequest returns a request as a subject.
+// NewKeyedRequest returns a KeyedRequest whose key is not computed yet.
 func NewKeyedRequest(r Request) *KeyedRequest { return &KeyedRequest{Request: r} }
 
 // Key returns the request's key.
@@ -79,7 +80,7 @@
 	return s.key
 }
 
-// ComputedKey returns the request's key as text, or "" where nobody has needed it yet.
+// ComputedKey returns the request's key as text, or "" if it was not computed.
 func (s *KeyedRequest) ComputedKey() string {
 	if s == nil || s.key == (Key{}) {
 		return ""
@@ -96,7 +97,8 @@
 func (r Request) Key() Key {
 	h := sha256.New()
 	var length [8]byte
-	// Each part's length goes before it: parts that are cut in another way differ.
+	// Each part is preceded by its length, so that different splits of the same text
+	// differ.
 	for _, part := range []string{r.Method, r.Host, r.Target, r.Caller} {
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		// Writing to a hash does not fail.
--- a/internal/quarantine/key_test.go
+++ b/internal/quarantine/key_test.go
@@ -8,8 +8,8 @@
 	"fennelyard/internal/quarantine"
 )
 
-// A request that is repeated keeps its key; one that differs in any part has another, also
-// where two parts read the same put together.
+// A repeated request has the same key. One that differs in any part has another key, also
+// if the concatenation of two parts is the same.
 func TestKey(t *testing.T) {
 	base := quarantine.Request{Method: "POST", Host: "h.example", Target: "/a/b", Caller: "ann", Body: []byte("body")}
 	again := base
--- /dev/null
+++ b/internal/quarantine/prober_test.go
@@ -0,0 +1,67 @@
+package quarantine_test
+
+import (
+	"context"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/go-logr/logr"
+	"github.com/stretchr/testify/require"
+
+	"fennelyard/internal/quarantine"
+	"fennelyard/internal/relay"
+)
+
+// Two attempts break off on a server. It has ended if its address refuses connections. A
+// server that is running or unreachable is no evidence against the requests; otherwise every
+// cut connection would put the requests on it under suspicion.
+func TestServerProber(t *testing.T) {
+	for name, x := range map[string]struct {
+		results []relay.Presence
+		ended   bool
+	}{
+		"ended":                          {[]relay.Presence{relay.PresenceRefused}, true},
+		"ends a moment later":            {[]relay.Presence{relay.PresenceListening, relay.PresenceRefused}, true},
+		"a packet was lost":              {[]relay.Presence{relay.PresenceSilent, relay.PresenceRefused}, true},
+		"is running":                     {[]relay.Presence{relay.PresenceListening}, false},
+		"can't be reached":               {[]relay.Presence{relay.PresenceSilent}, false},
+		"listens and can't be reached":   {[]relay.Presence{relay.PresenceListening, relay.PresenceSilent}, false},
+		"ended, and another starts soon": {[]relay.Presence{relay.PresenceRefused, relay.PresenceListening}, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				var mu sync.Mutex
+				var reported []quarantine.Key
+				probes := 0
+				prober := quarantine.NewServerProber(quarantine.ServerProberConfig{
+					Probe: func(context.Context, string) relay.Presence {
+						mu.Lock()
+						defer mu.Unlock()
+						probes++
+						return x.results[min(probes, len(x.results))-1]
+					},
+					OnEnded: func(_ string, keys []quarantine.Key) {
+						mu.Lock()
+						defer mu.Unlock()
+						reported = append(reported, keys...)
+					},
+					Log: logr.Discard(),
+				})
+				defer prober.Close()
+				one, two := keyOf("/1"), keyOf("/2")
+				prober.AttemptFailed("s", "a:1", one)
+				prober.AttemptFailed("s", "a:1", two)
+				time.Sleep(time.Second)
+				mu.Lock()
+				defer mu.Unlock()
+				if x.ended {
+					require.ElementsMatch(t, []quarantine.Key{one, two}, reported)
+				} else {
+					require.Empty(t, reported)
+				}
+			})
+		})
+	}
+}
--- a/internal/quarantine/reader.go
+++ b/internal/quarantine/reader.go
@@ -7,42 +7,43 @@
 )
 
 const (
-	// tellRate is how many requests a second one host tells another at most: 6 KB, what the
-	// words about servers and loads leave of a host's 18 KB for control. Whoever repeats a
-	// thousand different harmful requests a second is held back a little later.
-	tellRate = 75.0
-	// tellMost is how many are told at once, after as many seconds in which fewer were.
-	tellMost = 256
+	// readerRate is the maximum number of records a second sent from one host to another: 6
+	// KB, which is what updates of servers and loads leave of a host's 18 KB for control. A
+	// caller that repeats a thousand different harmful requests a second is held back a
+	// little later.
+	readerRate = 75.0
+	// maxReaderBurst is the maximum number of records sent at once after a time with fewer.
+	maxReaderBurst = 256
 )
 
-// Reader reads a part of a book for one other host, each change once. It belongs to one
+// Reader reads a part of a set for one other host, each change once. It is for use by one
 // goroutine.
 type Reader struct {
-	book *SuspectSet
-	part Part
-	// at is the change up to which the other host has been told.
-	at uint64
-	// allowed is how many requests may be told as of asked.
-	allowed float64
-	asked   time.Time
+	suspects *SuspectSet
+	part     Part
+	// change is the change number up to which the other host was sent the records.
+	change uint64
+	// tokens is the number of records that could be sent at lastRefill.
+	tokens     float64
+	lastRefill time.Time
 }
 
-// Reader returns one that begins with all that is known.
-func (b *SuspectSet) Reader(part Part) *Reader {
-	return &Reader{book: b, part: part, allowed: tellMost, asked: b.cfg.Now()}
+// Reader returns a Reader that starts with all records of a part.
+func (s *SuspectSet) Reader(part Part) *Reader {
+	return &Reader{suspects: s, part: part, tokens: maxReaderBurst, lastRefill: s.cfg.Now()}
 }
 
-// Next returns what has changed since it was last called, as far as may be told now; the
-// rest comes with later calls.
+// Next returns the records that changed since the last call, within readerRate; later calls
+// return the rest.
 func (r *Reader) Next() []*schema.Suspect {
-	if r.book.Empty() {
+	if r.suspects.Empty() {
 		return nil
 	}
-	now := r.book.cfg.Now()
-	r.allowed = min(r.allowed+tellRate*now.Sub(r.asked).Seconds(), tellMost)
-	r.asked = now
-	list, to := r.book.since(r.at, r.part, int(r.allowed))
-	r.at = to
-	r.allowed -= float64(len(list))
+	now := r.suspects.cfg.Now()
+	r.tokens = min(r.tokens+readerRate*now.Sub(r.lastRefill).Seconds(), maxReaderBurst)
+	r.lastRefill = now
+	list, to := r.suspects.since(r.change, r.part, int(r.tokens))
+	r.change = to
+	r.tokens -= float64(len(list))
 	return list
 }
--- a/internal/quarantine/reader_test.go
+++ b/internal/quarantine/reader_test.go
@@ -12,69 +12,70 @@
 	"fennelyard/internal/quarantine"
 )
 
-// A thousand different requests a second end servers, three each. A host is told of them in
-// the order in which they were held back, of each once, and within a third of its 18 KB a
-// second for control: words about servers and loads take the rest.
-func TestFloodOfHarmfulRequestsIsToldWithinTheShare(t *testing.T) {
+// A thousand different requests a second end three servers each. Another host must be sent
+// each record once, in the order of the holds, within a third of its 18 KB a second for
+// control; updates of servers and loads take the rest.
+func TestFloodOfHarmfulRequestsIsSentWithinTheRate(t *testing.T) {
 	const share, seconds = 6 << 10, 10
 	c := &clock{time.Unix(1e9, 0)}
-	b := newBook(c)
-	r := b.Reader(quarantine.PartHeld)
-	bytes, told := 0, map[string]bool{}
+	set := newSuspectSet(c)
+	r := set.Reader(quarantine.PartHeld)
+	bytes, sent := 0, map[string]bool{}
 	read := func() {
 		for _, s := range r.Next() {
-			require.False(t, told[string(s.GetKey())])
-			told[string(s.GetKey())] = true
+			require.False(t, sent[string(s.GetKey())])
+			sent[string(s.GetKey())] = true
 			bytes += proto.Size(s)
 		}
 	}
 	for i := range 1000 * seconds {
 		for server := range 3 {
-			b.RecordEnded(keyOf(fmt.Sprint("flood ", i)), fmt.Sprint("i-0123456789-", server))
+			set.RecordEnded(keyOf(fmt.Sprint("flood ", i)), fmt.Sprint("i-0123456789-", server))
 		}
-		c.at = c.at.Add(time.Millisecond)
+		c.current = c.current.Add(time.Millisecond)
 		if i%100 == 99 {
 			read()
 		}
 	}
-	// What was saved up while nothing was told may leave at once.
+	// The burst after a time without records may be sent at once.
 	const savedUp = 4 * share
 	require.Less(t, bytes, share*seconds+savedUp)
 	for range 200 {
-		c.at = c.at.Add(time.Second)
+		c.current = c.current.Add(time.Second)
 		read()
 	}
-	// The rest of what is remembered at all has come by then.
-	require.Greater(t, len(told), 3500)
+	// All other records in the set have been sent by then.
+	require.Greater(t, len(sent), 3500)
 }
 
-// A reader begins with all that is known: what the other host knew is not known.
-func TestReaderBeginsWithAll(t *testing.T) {
+// A reader starts with all records, as what the other host has is unknown.
+func TestReaderStartsWithAllRecords(t *testing.T) {
 	c := &clock{time.Unix(1e9, 0)}
-	b := newBook(c)
-	require.Empty(t, b.Reader(quarantine.PartAll).Next())
+	set := newSuspectSet(c)
+	require.Empty(t, set.Reader(quarantine.PartAll).Next())
 	for i := range 3 {
-		b.RecordEnded(keyOf("/1"), strconv.Itoa(i))
+		set.RecordEnded(keyOf("/1"), strconv.Itoa(i))
 	}
 	for range 2 {
-		r := b.Reader(quarantine.PartAll)
+		r := set.Reader(quarantine.PartAll)
 		require.Len(t, r.Next(), 1)
 		require.Empty(t, r.Next())
 	}
 }
 
-// What a request costs with so many under suspicion.
+// BenchmarkHarmful measures the cost of an ordinary request while many others are
+// suspected.
 func BenchmarkHarmful(b *testing.B) {
 	for _, suspects := range []int{0, 1000} {
-		book := newBook(&clock{time.Unix(1e9, 0)})
+		set := newSuspectSet(&clock{time.Unix(1e9, 0)})
 		for i := range suspects {
-			book.RecordEnded(quarantine.Request{Target: fmt.Sprint("/", i)}.Key(), "a")
+			set.RecordEnded(quarantine.Request{Target: fmt.Sprint("/", i)}.Key(), "a")
 		}
 		q := quarantine.Request{Method: "POST", Host: "h.example", Target: "/chat/completions", Body: make([]byte, 1<<10)}
 		b.Run(strconv.Itoa(suspects), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if !book.Empty() && book.MayContain(q.Hint()) {
+				if !set.Empty() && set.MayContain(q.Hint()) {
 					b.Fatal("another request has its hint")
 				}
 			}
--- a/internal/quarantine/trial_test.go
+++ b/internal/quarantine/trial_test.go
@@ -15,25 +15,25 @@
 	"fennelyard/internal/schema"
 )
 
-// A caller repeats a harmful request that is held back, five times a second at each of twenty
-// entries. It may try once more when the time is over for which it is held back. That time was
-// over at all entries at once, and at each of them it was sent on until its end was known:
-// a server at each entry, and more. Entries now let one try at a time, each after a time of its own, so
-// that the word of the first is there before the second: hardly more than one server ends each
-// time that the hold is over.
-func TestOneTryAfterTheHold(t *testing.T) {
+// A caller repeats a harmful request that is held back, five times a second at each of
+// twenty entries. When the hold expired at all entries at once, each of them forwarded the
+// request until it detected the end of its server, so that at least one server ended at
+// each entry. Entries allow one trial at a time, each after a hold of its own length, so
+// that the first trial's record arrives before the second trial: hardly more than one
+// server ends each time that a hold expires.
+func TestOneTrialAfterTheHold(t *testing.T) {
 	const (
-		entries = 20
-		runs    = 100 * time.Millisecond
-		word    = 300 * time.Millisecond
-		every   = 200 * time.Millisecond
-		lasts   = 40 * time.Minute
+		entries        = 20
+		runTime        = 100 * time.Millisecond
+		recordDelay    = 300 * time.Millisecond
+		repeatInterval = 200 * time.Millisecond
+		duration       = 40 * time.Minute
 	)
 	synctest.Test(t, func(t *testing.T) {
 		var guards []*quarantine.Guard
-		tell := func(from *quarantine.Guard) {
+		sendRecords := func(from *quarantine.Guard) {
 			list, _ := from.Suspects().Since(0, quarantine.PartAll)
-			time.AfterFunc(word, func() {
+			time.AfterFunc(recordDelay, func() {
 				for _, g := range guards {
 					g.Suspects().Merge(list, true)
 				}
@@ -44,7 +44,7 @@
 			g = quarantine.NewGuard(quarantine.GuardConfig{
 				Entry:    fmt.Sprint("entry-", i),
 				Probe:    func(context.Context, string) relay.Presence { return relay.PresenceRefused },
-				OnChange: func() { tell(g) }, Log: logr.Discard(),
+				OnChange: func() { sendRecords(g) }, Log: logr.Discard(),
 			})
 			defer g.Close()
 			guards = append(guards, g)
@@ -54,25 +54,26 @@
 			g.Suspects().Merge(threeEnded(request), true)
 		}
 		ended := 0
-		for began := time.Now(); time.Since(began) < lasts; time.Sleep(every) {
+		for began := time.Now(); time.Since(began) < duration; time.Sleep(repeatInterval) {
 			for _, g := range guards {
-				s := quarantine.NewKeyedRequest(request)
-				if _, held := g.HeldBack(s); held {
+				r := quarantine.NewKeyedRequest(request)
+				if _, held := g.HeldBack(r); held {
 					continue
 				}
 				ended++
 				server := fmt.Sprint("server-", ended)
-				time.AfterFunc(runs, func() { g.AttemptFailed(s, server, server) })
+				time.AfterFunc(runTime, func() { g.AttemptFailed(r, server, server) })
 			}
 		}
-		// Five minutes doubled each time, or half as long again, are over two or three times.
+		// A hold of five minutes, doubled each time or half as long again, expires two or
+		// three times.
 		t.Logf("%d servers ended", ended)
 		require.LessOrEqual(t, ended, 2*3)
 		require.GreaterOrEqual(t, ended, 2)
 	})
 }
 
-// threeEnded tells that three servers have just ended under a request.
+// threeEnded returns a record that three servers have just ended under a request.
 func threeEnded(r quarantine.Request) []*schema.Suspect {
 	key := r.Key()
 	s := &schema.Suspect{Key: key[:]}
@@ -82,9 +83,9 @@
 	return []*schema.Suspect{s}
 }
 
-// A try that comes to its end clears the request at once, and one that its caller leaves
-// does not keep others from trying for long.
-func TestTryThatEndsNoServer(t *testing.T) {
+// A trial that completes must clear the request at once, and one that its caller cancels
+// must not delay other trials for long.
+func TestTrialThatEndsNoServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := quarantine.NewGuard(quarantine.GuardConfig{
 			Entry: "entry", Probe: func(context.Context, string) relay.Presence { return relay.PresenceRefused },
@@ -94,23 +95,23 @@
 		request := quarantine.Request{Target: "/once"}
 		g.Suspects().Merge(threeEnded(request), true)
 		one, two := quarantine.NewKeyedRequest(request), quarantine.NewKeyedRequest(request)
-		left, held := g.HeldBack(one)
+		remaining, held := g.HeldBack(one)
 		require.True(t, held)
-		require.GreaterOrEqual(t, left, 5*time.Minute)
-		require.LessOrEqual(t, left, 7*time.Minute+30*time.Second)
-		time.Sleep(left - time.Millisecond)
+		require.GreaterOrEqual(t, remaining, 5*time.Minute)
+		require.LessOrEqual(t, remaining, 7*time.Minute+30*time.Second)
+		time.Sleep(remaining - time.Millisecond)
 		_, held = g.HeldBack(one)
-		require.True(t, held, "the time that callers are told is true")
+		require.True(t, held, "the hold lasts as long as callers are told")
 		time.Sleep(time.Millisecond)
 		_, held = g.HeldBack(one)
 		require.False(t, held)
 		_, held = g.HeldBack(one)
-		require.False(t, held, "the one that tries may try on")
-		left, held = g.HeldBack(two)
-		require.True(t, held, "another waits for what becomes of the first")
-		time.Sleep(left)
+		require.False(t, held, "the request of the trial may try again")
+		remaining, held = g.HeldBack(two)
+		require.True(t, held, "another request waits for the result of the trial")
+		time.Sleep(remaining)
 		_, held = g.HeldBack(two)
-		require.False(t, held, "the first came to no end")
+		require.False(t, held, "the first trial had no result")
 		_, held = g.HeldBack(one)
 		require.True(t, held)
 		g.AttemptCompleted(two)
