--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,9 +1,9 @@
-// Package quota keeps the quotas of teams over all entries together. Each entry counts what
-// it admits and reports it on its subscription; the sums come back to all entries, which
-// reject a random part of a team's requests once it asks for more than its quota: global
-// random drop of Raghavan et al., Cloud Control with Distributed Rate Limiting (SIGCOMM
-// 2007). No request waits for another host's consent, and no share of the quota is tied to
-// an entry that has no use for it.
+// Package quota enforces the quotas of teams over all entries together. Each entry counts
+// what it admits and reports it on its subscription. The sums are sent to all entries,
+// which reject a random part of a team's requests once the team demands more than its
+// quota: global random drop of Raghavan et al., Cloud Control with Distributed Rate
+// Limiting (SIGCOMM 2007). No request waits for another host's reply, and no share of a
+// quota is bound to an entry that does not need it.
 package quota
 
 import (
@@ -16,31 +16,32 @@
 )
 
 const (
-	// DefaultWindow is the window over which quotas are counted where none is set.
+	// DefaultWindow is the default length of the window over which quotas are counted.
 	DefaultWindow = 8 * time.Second
-	// DemandWindowDivisor is the part of the window over which demand is measured and the rest of
-	// the quota is spent. It is some times the delay of the sums, or the admitted rate
-	// would oscillate.
+	// DemandWindowDivisor divides the window into the part over which demand is measured
+	// and the rest of the quota is spent. That part is several times the delay of the sums;
+	// otherwise the admitted rate would oscillate.
 	DemandWindowDivisor = 4
-	// steadyPart of the rate is admitted however much of the quota is used: what leaves the
-	// window can be spent again, but when it leaves is not known from a sum.
-	steadyPart = 0.3
-	// latePart is the part of the window that shows a jump of demand first.
-	latePart = 16
-	// slots is how many slots a window is counted in; a multiple of both parts.
-	slots = 32
-	// reportGrace is the age up to which a report counts in full: reporters send the next one
-	// within it.
-	reportGrace = 500 * time.Millisecond
+	// steadyFraction of the rate is admitted however much of the quota is used: usage that
+	// leaves the window can be spent again, but a sum does not show when it leaves.
+	steadyFraction = 0.3
+	// recentWindowDivisor divides the window into the part that shows a jump of demand
+	// first.
+	recentWindowDivisor = 16
+	// windowSlots is the number of slots of a window, a multiple of both divisors.
+	windowSlots = 32
+	// fullWeightAge is the age up to which a report counts in full. Reporters send the next
+	// one within it.
+	fullWeightAge = 500 * time.Millisecond
 )
 
-// Budget is what a quota allows in a window.
+// Budget returns the cost that a quota allows in a window.
 func Budget(q *schema.Quota, window time.Duration) float64 {
 	return q.GetRatePerSecond()*window.Seconds() + q.GetBurst()
 }
 
-// Cost is what a request counts, by its declared tokens; declared is false for one that
-// declares none.
+// Cost returns the cost of a request with some declared tokens; declared is false if the
+// request declares none.
 func Cost(q *schema.Quota, tokens float64, declared bool) float64 {
 	switch {
 	case !q.GetTokens():
@@ -51,92 +52,96 @@
 	return tokens
 }
 
-// Limits reports whether a quota bounds anything.
+// Limits reports whether a quota limits anything.
 func Limits(q *schema.Quota) bool { return q.GetRatePerSecond() > 0 }
 
-// sliding sums amounts over a window of time.
-type sliding struct {
-	amounts [slots]float64
-	// last is the number of the newest slot.
-	last int64
+// slidingSum sums amounts over a sliding window.
+type slidingSum struct {
+	amounts [windowSlots]float64
+	// newest is the number of the newest slot.
+	newest int64
 }
 
-// turn drops the slots that have left the window.
-func (s *sliding) turn(slot int64) {
-	if slot-s.last >= slots {
-		s.amounts = [slots]float64{}
-		s.last = slot
+// advance clears the slots that have left the window.
+func (s *slidingSum) advance(slot int64) {
+	if slot-s.newest >= windowSlots {
+		s.amounts = [windowSlots]float64{}
+		s.newest = slot
 		return
 	}
-	for s.last < slot {
-		s.last++
-		s.amounts[s.last%slots] = 0
+	for s.newest < slot {
+		s.newest++
+		s.amounts[s.newest%windowSlots] = 0
 	}
 }
 
-func (s *sliding) add(slot int64, amount float64) {
-	s.turn(slot)
-	s.amounts[s.last%slots] += amount
+func (s *slidingSum) add(slot int64, amount float64) {
+	s.advance(slot)
+	s.amounts[s.newest%windowSlots] += amount
 }
 
-// sum is the sum of the newest n slots.
-func (s *sliding) sum(slot int64, n int64) float64 {
-	s.turn(slot)
+// sum returns the sum of the newest n slots.
+func (s *slidingSum) sum(slot int64, n int64) float64 {
+	s.advance(slot)
 	total := 0.0
 	for i := range n {
-		total += s.amounts[(s.last+slots-i)%slots]
+		total += s.amounts[(s.newest+windowSlots-i)%windowSlots]
 	}
 	return total
 }
 
-// use is what one entry knows of a team's quota.
-type use struct {
-	admitted, requested sliding
-	// total is the latest sum over all entries; nil: the team uses little of its quota.
+// teamUsage is one entry's usage of a team's quota.
+type teamUsage struct {
+	admitted, requested slidingSum
+	// total is the latest sum over all entries; nil if the team uses little of its quota.
 	total *schema.TeamUse
 }
 
 // MeterConfig configures a Meter.
 type MeterConfig struct {
-	// Window is the window over which quotas are counted; 0: DefaultWindow.
+	// Window is the length of the window over which quotas are counted; 0 means
+	// DefaultWindow.
 	Window time.Duration
 	// Random returns a number in [0, 1); required.
 	Random func() float64
 }
 
 // Meter admits an entry's requests within the quotas of their teams. All methods are safe
-// from any goroutine.
+// for concurrent use.
 type Meter struct {
-	cfg   MeterConfig
-	slot  time.Duration
-	began time.Time
+	cfg        MeterConfig
+	slotLength time.Duration
+	start      time.Time
 
 	mu sync.Mutex
-	// uses are the teams that were asked for within the window; guarded by mu.
-	uses map[string]*use
+	// teams holds the teams with requests within the window; guarded by mu.
+	teams map[string]*teamUsage
 }
 
-// NewMeter returns a meter that has admitted nothing.
+// NewMeter returns a Meter without usage.
 func NewMeter(cfg MeterConfig, now time.Time) *Meter {
 	cfg.Window = cmp.Or(cfg.Window, DefaultWindow)
-	return &Meter{cfg: cfg, slot: cfg.Window / slots, began: now, uses: map[string]*use{}}
+	return &Meter{cfg: cfg, slotLength: cfg.Window / windowSlots, start: now, teams: map[string]*teamUsage{}}
 }
 
-func (m *Meter) at(now time.Time) int64 { return int64(now.Sub(m.began)/m.slot) + slots }
+func (m *Meter) slotAt(now time.Time) int64 {
+	return int64(now.Sub(m.start)/m.slotLength) + windowSlots
+}
 
-// use returns what is known of a team; mu is held.
-func (m *Meter) use(team string) *use {
-	u := m.uses[team]
+// usage returns a team's usage and adds it if needed; the caller holds mu.
+func (m *Meter) usage(team string) *teamUsage {
+	u := m.teams[team]
 	if u == nil {
-		u = &use{}
-		m.uses[team] = u
+		u = &teamUsage{}
+		m.teams[team] = u
 	}
 	return u
 }
 
-// Admit counts a request of a team against its quota, or returns when the quota will have
-// room for it. fresh tells that the sums of all entries are up to date; without them an
-// entry admits its own part of the quota, one of so many entries, and at least one request.
+// Admit counts a request of a team against its quota, or returns after which time the quota
+// is expected to have room for it. If fresh is set, the sums over all entries are up to
+// date. Otherwise the entry admits its own share of the quota, 1/entries, and at least one
+// request.
 func (m *Meter) Admit(t *schema.Team, cost float64, fresh bool, entries int, now time.Time) (after time.Duration, ok bool) {
 	q := t.GetQuota()
 	if !Limits(q) {
@@ -144,13 +149,13 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	slot, u := m.at(now), m.use(t.GetName())
+	slot, u := m.slotAt(now), m.usage(t.GetName())
 	u.requested.add(slot, cost)
 	budget := Budget(q, m.cfg.Window)
 	if fresh {
-		after, ok = m.share(u, q, budget)
+		after, ok = m.admitShare(u, q, budget)
 	} else {
-		after, ok = m.alone(u, budget, cost, entries, slot)
+		after, ok = m.admitWithoutTotals(u, budget, cost, entries, slot)
 	}
 	if ok {
 		u.admitted.add(slot, cost)
@@ -158,105 +163,106 @@
 	return after, ok
 }
 
-// share admits the part of all requests that the rest of the budget allows; mu is held.
-func (m *Meter) share(u *use, q *schema.Quota, budget float64) (time.Duration, bool) {
+// admitShare admits the fraction of all requests that the rest of the budget allows; the
+// caller holds mu.
+func (m *Meter) admitShare(u *teamUsage, q *schema.Quota, budget float64) (time.Duration, bool) {
 	admitted := u.total.GetAdmitted()
-	requested := max(u.total.GetRequested(), u.total.GetRequestedLately()*latePart/DemandWindowDivisor)
+	requested := max(u.total.GetRequested(), u.total.GetRequestedLately()*recentWindowDivisor/DemandWindowDivisor)
 	if requested == 0 {
 		return 0, true
 	}
 	spend := m.cfg.Window / DemandWindowDivisor
-	allowed := budget - admitted + steadyPart*q.GetRatePerSecond()*spend.Seconds()
+	allowed := budget - admitted + steadyFraction*q.GetRatePerSecond()*spend.Seconds()
 	if allowed >= requested || m.cfg.Random() < allowed/requested {
 		return 0, true
 	}
-	return max(seconds((admitted-budget)/q.GetRatePerSecond()), spend/2), false
+	return max(secondsToDuration((admitted-budget)/q.GetRatePerSecond()), spend/2), false
 }
 
-// alone admits an entry's own part of a budget; mu is held.
-func (m *Meter) alone(u *use, budget, cost float64, entries int, slot int64) (time.Duration, bool) {
-	admitted := u.admitted.sum(slot, slots)
-	part := budget / float64(max(entries, 1))
-	if admitted == 0 || admitted+cost <= part {
+// admitWithoutTotals admits an entry's own share of a budget; the caller holds mu.
+func (m *Meter) admitWithoutTotals(u *teamUsage, budget, cost float64, entries int, slot int64) (time.Duration, bool) {
+	admitted := u.admitted.sum(slot, windowSlots)
+	share := budget / float64(max(entries, 1))
+	if admitted == 0 || admitted+cost <= share {
 		return 0, true
 	}
 	return m.cfg.Window / DemandWindowDivisor, false
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Refund gives a request back that was admitted and did not run.
+// Refund removes the cost of a request that was admitted but did not run.
 func (m *Meter) Refund(team string, cost float64, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if u := m.uses[team]; u != nil {
-		u.admitted.add(m.at(now), -cost)
+	if u := m.teams[team]; u != nil {
+		u.admitted.add(m.slotAt(now), -cost)
 	}
 }
 
-// Report returns this entry's use of quotas, and forgets teams without any.
+// Report returns this entry's usage of quotas, and removes teams without any.
 func (m *Meter) Report(now time.Time) *schema.TeamUses {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	slot, out := m.at(now), &schema.TeamUses{}
-	for team, u := range m.uses {
-		admitted := u.admitted.sum(slot, slots)
-		if admitted <= 0 && u.requested.sum(slot, slots) == 0 && u.total == nil {
-			delete(m.uses, team)
+	slot, out := m.slotAt(now), &schema.TeamUses{}
+	for team, u := range m.teams {
+		admitted := u.admitted.sum(slot, windowSlots)
+		if admitted <= 0 && u.requested.sum(slot, windowSlots) == 0 && u.total == nil {
+			delete(m.teams, team)
 			continue
 		}
 		out.Uses = append(out.Uses, &schema.TeamUse{
 			Team:     team,
-			Admitted: max(admitted, 0), Requested: u.requested.sum(slot, slots/DemandWindowDivisor), RequestedLately: u.requested.sum(slot, slots/latePart),
+			Admitted: max(admitted, 0), Requested: u.requested.sum(slot, windowSlots/DemandWindowDivisor), RequestedLately: u.requested.sum(slot, windowSlots/recentWindowDivisor),
 		})
 	}
 	return out
 }
 
-// SetTotals takes in the sums over all entries. Teams that are not named use little of their
+// SetTotals sets the sums over all entries. Teams that are not listed use little of their
 // quotas.
 func (m *Meter) SetTotals(uses *schema.TeamUses) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, u := range m.uses {
+	for _, u := range m.teams {
 		u.total = nil
 	}
 	for _, total := range uses.GetUses() {
-		m.use(total.GetTeam()).total = total
+		m.usage(total.GetTeam()).total = total
 	}
 }
 
-// Totals sums the latest reports of some reporters. A report's weight falls with its age,
-// as what it counts leaves the window: the use of a reporter that is gone still counts for
-// as long as it matters. All methods are safe from any goroutine.
+// Totals sums the latest reports of several reporters. The weight of a report decreases
+// with its age, as its usage leaves the window: the usage of a reporter that has ended
+// still counts as long as it matters. All methods are safe for concurrent use.
 type Totals struct {
 	window time.Duration
 
 	mu sync.Mutex
-	// reports are by reporter; guarded by mu.
+	// reports is keyed by reporter; guarded by mu.
 	reports map[string]report
 }
 
-// report is a reporter's use of quotas at a time.
+// report is a reporter's usage of quotas at a time.
 type report struct {
 	uses *schema.TeamUses
 	at   time.Time
 }
 
-// NewTotals returns the sums of nothing, for quotas over a window; 0: DefaultWindow.
+// NewTotals returns empty sums for quotas over a window; 0 means DefaultWindow.
 func NewTotals(window time.Duration) *Totals {
 	return &Totals{window: cmp.Or(window, DefaultWindow), reports: map[string]report{}}
 }
 
-// Report takes in a reporter's use, in place of its earlier ones.
+// Report replaces a reporter's usage.
 func (t *Totals) Report(reporter string, uses *schema.TeamUses, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reports[reporter] = report{uses, now}
 }
 
-// Sum returns the sums, ordered by team. Teams of which keep says no are left out; a nil
-// keep leaves none out.
+// Sum returns the sums, ordered by team, without the teams for which keep returns false. A
+// nil keep keeps all.
 func (t *Totals) Sum(now time.Time, keep func(*schema.TeamUse) bool) *schema.TeamUses {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -267,7 +273,7 @@
 			delete(t.reports, reporter)
 			continue
 		}
-		t.add(sums, r.uses, max(age-reportGrace, 0))
+		t.add(sums, r.uses, max(age-fullWeightAge, 0))
 	}
 	out := &schema.TeamUses{}
 	for _, sum := range sums {
@@ -279,7 +285,7 @@
 	return out
 }
 
-// add adds a report of some age to the sums; mu is held.
+// add adds a report of some age to the sums; the caller holds mu.
 func (t *Totals) add(sums map[string]*schema.TeamUse, uses *schema.TeamUses, age time.Duration) {
 	left := 1 - float64(age)/float64(t.window)
 	recent := max(1-float64(age)/(float64(t.window)/DemandWindowDivisor), 0)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -15,10 +15,10 @@
 const (
 	window = 8 * time.Second
 	step   = 10 * time.Millisecond
-	// beat is the time between two reports, and between two sums.
-	beat = 300 * time.Millisecond
-	// overage is the part of a budget that may be run beyond it.
-	overage = 0.1
+	// reportInterval is the time between two reports, and between two sums.
+	reportInterval = 300 * time.Millisecond
+	// maxOverage is the fraction of a budget that may be admitted beyond it.
+	maxOverage = 0.1
 )
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
@@ -30,24 +30,24 @@
 	entries []*quota.Meter
 	totals  *quota.Totals
 	now     time.Time
-	// alone are entries that get no sums.
-	alone map[int]bool
-	// sums are under way to the entries, each for a beat.
-	sums *schema.TeamUses
-	// admitted are the costs that were admitted, by the step in which they were.
+	// disconnected are the entries that receive no sums.
+	disconnected map[int]bool
+	// pendingTotals are the sums on their way to the entries, for one reportInterval each.
+	pendingTotals *schema.TeamUses
+	// admitted is the admitted cost of each step.
 	admitted []float64
 	refused  int
 	requests int
-	// tokens are left in a token bucket with the team's rate and burst that all entries
-	// share, and over counts the requests that find it empty.
-	tokens float64
-	over   int
+	// bucketTokens are the tokens in a token bucket with the team's rate and burst that all
+	// entries share, and bucketRefused counts the requests that find it empty.
+	bucketTokens  float64
+	bucketRefused int
 }
 
 func newFleet(seed uint64, entries int, q *schema.Quota) *fleet {
 	f := &fleet{
 		team: &schema.Team{Name: "t", Quota: q}, random: rand.New(rand.NewPCG(seed, 1)),
-		totals: quota.NewTotals(window), now: start, alone: map[int]bool{},
+		totals: quota.NewTotals(window), now: start, disconnected: map[int]bool{},
 	}
 	for range entries {
 		f.entries = append(f.entries, quota.NewMeter(quota.MeterConfig{Window: window, Random: f.random.Float64}, start))
@@ -55,11 +55,11 @@
 	return f
 }
 
-// run has callers ask for so many tokens a second, of entries that pick chooses.
+// run sends requests with a total cost of perSecond to the entries that pick returns.
 func (f *fleet) run(d time.Duration, perSecond float64, pick func() int) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
 		f.admitted = append(f.admitted, 0)
-		f.tokens = min(f.tokens+f.team.GetQuota().GetRatePerSecond()*step.Seconds(), f.team.GetQuota().GetBurst())
+		f.bucketTokens = min(f.bucketTokens+f.team.GetQuota().GetRatePerSecond()*step.Seconds(), f.team.GetQuota().GetBurst())
 		due := perSecond * step.Seconds()
 		for due > 0 {
 			cost := 2000 + 14000*f.random.Float64()
@@ -67,22 +67,22 @@
 				break
 			}
 			due -= cost
-			f.ask(pick(), cost)
+			f.request(pick(), cost)
 		}
-		if len(f.admitted)%int(beat/step) == 0 {
-			f.exchange()
+		if len(f.admitted)%int(reportInterval/step) == 0 {
+			f.exchangeReports()
 		}
 	}
 }
 
-func (f *fleet) ask(entry int, cost float64) {
+func (f *fleet) request(entry int, cost float64) {
 	f.requests++
-	if f.tokens >= cost {
-		f.tokens -= cost
+	if f.bucketTokens >= cost {
+		f.bucketTokens -= cost
 	} else {
-		f.over++
+		f.bucketRefused++
 	}
-	_, ok := f.entries[entry].Admit(f.team, cost, !f.alone[entry], len(f.entries), f.now)
+	_, ok := f.entries[entry].Admit(f.team, cost, !f.disconnected[entry], len(f.entries), f.now)
 	if !ok {
 		f.refused++
 		return
@@ -90,33 +90,33 @@
 	f.admitted[len(f.admitted)-1] += cost
 }
 
-func (f *fleet) exchange() {
+func (f *fleet) exchangeReports() {
 	for i, e := range f.entries {
-		if f.alone[i] {
+		if f.disconnected[i] {
 			continue
 		}
 		f.totals.Report(fmt.Sprint(i), e.Report(f.now), f.now)
-		e.SetTotals(f.sums)
+		e.SetTotals(f.pendingTotals)
 	}
-	f.sums = f.totals.Sum(f.now, nil)
+	f.pendingTotals = f.totals.Sum(f.now, nil)
 }
 
-// most is the most that was admitted in a window.
-func (f *fleet) most() float64 {
-	n, sum, most := int(window/step), 0.0, 0.0
+// maxInWindow returns the maximum cost admitted in a window.
+func (f *fleet) maxInWindow() float64 {
+	n, sum, maximum := int(window/step), 0.0, 0.0
 	for i, a := range f.admitted {
 		sum += a
 		if i >= n {
 			sum -= f.admitted[i-n]
 		}
-		most = max(most, sum)
+		maximum = max(maximum, sum)
 	}
-	return most
+	return maximum
 }
 
-// Entries together run more than a team's quota: a team that jumps to several times its
-// rate, spread evenly, at one entry or moving from entry to entry, is bounded, and served
-// nearly all of its quota.
+// Entries together could admit more than a team's quota. A team that jumps to several times
+// its rate, spread evenly, at one entry or moving from entry to entry, must be limited, and
+// still get nearly all of its quota.
 func TestTeamOverItsQuotaIsBounded(t *testing.T) {
 	q := &schema.Quota{Tokens: true, RatePerSecond: 600_000, Burst: 600_000}
 	budget := quota.Budget(q, window)
@@ -132,55 +132,55 @@
 					at := func() int { return pick(f) }
 					f.run(10*time.Second, 0.4*q.GetRatePerSecond(), at)
 					f.run(20*time.Second, times*q.GetRatePerSecond(), at)
-					require.LessOrEqual(t, f.most(), budget*(1+overage))
-					require.GreaterOrEqual(t, f.most(), 0.85*budget)
-					t.Logf("most in a window %.3f of the budget, refused %d of %d", f.most()/budget, f.refused, f.requests)
+					require.LessOrEqual(t, f.maxInWindow(), budget*(1+maxOverage))
+					require.GreaterOrEqual(t, f.maxInWindow(), 0.85*budget)
+					t.Logf("most in a window %.3f of the budget, refused %d of %d", f.maxInWindow()/budget, f.refused, f.requests)
 				})
 			}
 		}
 	}
 }
 
-// Requests are refused while their team stays within its quota: no entry may lack what
-// another has to spare, so that no more are refused than by one token bucket for all.
+// Requests could be refused although their team stays within its quota. No entry may lack
+// what another has left: no more may be refused than by one token bucket for all entries.
 func TestNothingIsRefusedBelowTheQuota(t *testing.T) {
 	for _, rate := range []float64{20_000, 600_000} {
 		q := &schema.Quota{Tokens: true, RatePerSecond: rate, Burst: rate}
 		for _, entries := range []int{1, 8, 76, 300} {
 			f := newFleet(2, entries, q)
 			f.run(40*time.Second, 0.6*rate, func() int { return f.random.IntN(entries) })
-			require.LessOrEqual(t, f.refused, f.over, "%d entries, rate %g: of %d", entries, rate, f.requests)
+			require.LessOrEqual(t, f.refused, f.bucketRefused, "%d entries, rate %g: of %d", entries, rate, f.requests)
 		}
 	}
 }
 
-// Entries that are cut off from the sums admit a team's whole quota each: they may run no
-// more than their part of it, and one request.
-func TestEntriesWithoutSumsKeepToTheirPart(t *testing.T) {
+// Entries without the sums could each admit a team's whole quota. They may admit no more
+// than their share of it, and one request.
+func TestEntriesWithoutTotalsAdmitTheirShare(t *testing.T) {
 	q := &schema.Quota{Tokens: true, RatePerSecond: 600_000, Burst: 600_000}
 	f := newFleet(3, 76, q)
 	pick := func() int { return f.random.IntN(76) }
 	f.run(10*time.Second, 0.4*q.GetRatePerSecond(), pick)
 	for i := range f.entries {
-		f.alone[i] = true
+		f.disconnected[i] = true
 	}
 	f.run(20*time.Second, 6*q.GetRatePerSecond(), pick)
-	require.LessOrEqual(t, f.most(), quota.Budget(q, window)*(1+overage))
+	require.LessOrEqual(t, f.maxInWindow(), quota.Budget(q, window)*(1+maxOverage))
 }
 
-// Half of the entries end and lose what they counted, while the team asks for three times
-// its rate: the rest must not admit it once more.
-func TestUseOfEntriesThatEndStillCounts(t *testing.T) {
+// Half of the entries end and lose their counts while the team demands three times its
+// rate. The other entries must not admit that usage once more.
+func TestUsageOfEndedEntriesStillCounts(t *testing.T) {
 	q := &schema.Quota{Tokens: true, RatePerSecond: 600_000, Burst: 600_000}
 	f := newFleet(4, 76, q)
 	f.run(10*time.Second, 3*q.GetRatePerSecond(), func() int { return f.random.IntN(76) })
 	f.entries = f.entries[:38]
 	f.run(10*time.Second, 3*q.GetRatePerSecond(), func() int { return f.random.IntN(38) })
-	require.LessOrEqual(t, f.most(), quota.Budget(q, window)*(1+overage))
+	require.LessOrEqual(t, f.maxInWindow(), quota.Budget(q, window)*(1+maxOverage))
 }
 
-// A request that did not run is counted, and others are refused for it.
-func TestReturnedRequestsDoNotCount(t *testing.T) {
+// A request that did not run must not count, or others would be refused because of it.
+func TestRefundedRequestsDoNotCount(t *testing.T) {
 	team := &schema.Team{Name: "t", Quota: &schema.Quota{RatePerSecond: 1}}
 	m := quota.NewMeter(quota.MeterConfig{Window: window, Random: func() float64 { return 0 }}, start)
 	for range 100 {
