--- a/internal/incarnation/incarnation.go
+++ b/internal/incarnation/incarnation.go
@@ -1,7 +1,6 @@
-// Package incarnation names the starts of backend servers. A server may start again
-// under the id that it had, and then holds and knows nothing of before: whatever is
-// true of one start only is kept under its incarnation, whatever outlives it under the
-// server's id.
+// Package incarnation identifies the starts of backend servers. A server that restarts
+// under the same id has none of its earlier state. State of one start is stored under its
+// incarnation, and state that outlives it under the server's id.
 package incarnation
 
 import (
@@ -9,20 +8,20 @@
 	"strings"
 )
 
-// separator stands between a server's id and the time of its start.
+// separator separates a server's id from its start time.
 const separator = '@'
 
-// Name is one start of a backend server.
+// Name identifies one start of a backend server.
 type Name struct {
 	// Server is the server's id.
 	Server string
-	// StartMs is when the start was, in Unix milliseconds by the server's clock; 0 for
-	// servers that do not say it.
+	// StartMs is the start time in Unix milliseconds by the server's clock; 0 for servers
+	// that do not report it.
 	StartMs int64
 }
 
-// String returns the incarnation's key: the id alone where no start is told, else the
-// id and the start. Parse takes it apart.
+// String returns the incarnation's key: the id alone if no start time is reported, else the
+// id and the start time. Parse is its inverse.
 func (n Name) String() string {
 	if n.StartMs == 0 && strings.IndexByte(n.Server, separator) < 0 {
 		return n.Server
@@ -30,19 +29,19 @@
 	return n.Server + string(separator) + strconv.FormatInt(n.StartMs, 10)
 }
 
-// Parse returns the incarnation of a key. It allocates nothing.
+// Parse returns the incarnation with a key. It does not allocate.
 func Parse(key string) Name {
 	at := strings.LastIndexByte(key, separator)
 	if at < 0 {
 		return Name{Server: key}
 	}
-	born, err := strconv.ParseInt(key[at+1:], 10, 64)
+	startMs, err := strconv.ParseInt(key[at+1:], 10, 64)
 	if err != nil {
-		// No key that String makes: an id that was recorded as it came.
+		// String returns no such key: it is an id that was recorded unchanged.
 		return Name{Server: key}
 	}
-	return Name{Server: key[:at], StartMs: born}
+	return Name{Server: key[:at], StartMs: startMs}
 }
 
-// ServerOf returns the id of the server of a key.
+// ServerOf returns the server id in a key.
 func ServerOf(key string) string { return Parse(key).Server }
--- a/internal/incarnation/incarnation_test.go
+++ b/internal/incarnation/incarnation_test.go
@@ -8,13 +8,13 @@
 	"fennelyard/internal/incarnation"
 )
 
-func TestKeysAreTakenApart(t *testing.T) {
+func TestKeysAreParsed(t *testing.T) {
 	for name, x := range map[string]struct {
 		of  incarnation.Name
 		key string
 	}{
-		"a start":                     {incarnation.Name{Server: "i-7f", StartMs: 1784556072000}, "i-7f@1784556072000"},
-		"no start told":               {incarnation.Name{Server: "i-7f"}, "i-7f"},
+		"a start time":                {incarnation.Name{Server: "i-7f", StartMs: 1784556072000}, "i-7f@1784556072000"},
+		"no start time reported":      {incarnation.Name{Server: "i-7f"}, "i-7f"},
 		"an id that looks like a key": {incarnation.Name{Server: "i@5"}, "i@5@0"},
 		"an id with the separator":    {incarnation.Name{Server: "a@b", StartMs: 7}, "a@b@7"},
 		"no id":                       {incarnation.Name{}, ""},
