--- a/internal/ledger/changes.go
+++ b/internal/ledger/changes.go
@@ -6,35 +6,35 @@
 	"fennelyard/internal/schema"
 )
 
-// changeLimit bounds how many changes are kept as deltas. A follower that
-// missed more gets the whole state.
-const changeLimit = 16384
+// maxChanges is how many changes are kept as deltas. A follower that missed more receives
+// the whole state.
+const maxChanges = 16384
 
 type change struct {
 	revision uint64
 	key      string
 }
 
-// changeRing remembers which keys changed at which revision.
-type changeRing struct {
-	// changes ascend by revision.
+// changeLog records which keys changed at which revision.
+type changeLog struct {
+	// changes is ordered by revision.
 	changes []change
 	// floor is the highest revision whose changes may be missing.
 	floor uint64
 }
 
-func (c *changeRing) add(revision uint64, key string) {
+func (c *changeLog) add(revision uint64, key string) {
 	c.changes = append(c.changes, change{revision, key})
-	if len(c.changes) < 2*changeLimit {
+	if len(c.changes) < 2*maxChanges {
 		return
 	}
-	c.floor = c.changes[len(c.changes)-changeLimit-1].revision
-	c.changes = append([]change(nil), c.changes[len(c.changes)-changeLimit:]...)
+	c.floor = c.changes[len(c.changes)-maxChanges-1].revision
+	c.changes = append([]change(nil), c.changes[len(c.changes)-maxChanges:]...)
 }
 
-// since returns the keys changed after a revision, each once, or false when
-// some of these changes are forgotten.
-func (c *changeRing) since(after uint64) ([]string, bool) {
+// since returns the keys that changed after a revision, each once. It returns false if some
+// of these changes have been dropped.
+func (c *changeLog) since(after uint64) ([]string, bool) {
 	if after < c.floor {
 		return nil, false
 	}
@@ -50,8 +50,8 @@
 	return keys, true
 }
 
-// changesSince collects what a follower at a revision lacks.
-func changesSince(r *Records, ring *changeRing, revision, after uint64) *schema.Changes {
+// changesSince returns the changes that a follower at a revision lacks.
+func changesSince(r *Records, ring *changeLog, revision, after uint64) *schema.Changes {
 	out := &schema.Changes{Revision: revision}
 	keys, ok := ring.since(after)
 	if !ok {
--- a/internal/ledger/claims.go
+++ b/internal/ledger/claims.go
@@ -13,19 +13,20 @@
 const (
 	// ClaimRetention is how long a request key is remembered after its claim.
 	ClaimRetention = 24 * time.Hour
-	// ClaimLimit is how many keys are remembered at once. Above it new claims
-	// are refused; none is forgotten early, or its resend would run again.
+	// ClaimLimit is the maximum number of remembered keys. Above it new claims are refused;
+	// no key is dropped early, as its resend would run again.
 	ClaimLimit = 200000
-	// MaxAnswerBytes is the largest answer body that is kept for resends.
+	// MaxAnswerBytes is the maximum size of a response body that is stored for resends.
 	MaxAnswerBytes = 64 << 10
-	// MaxTotalAnswerBytes bounds the bodies of all kept answers together. Above it
-	// the oldest are dropped; their keys are remembered all the same.
+	// MaxTotalAnswerBytes is the maximum size of all stored bodies together. Above it the
+	// oldest bodies are dropped, but not their keys.
 	MaxTotalAnswerBytes = 32 << 20
-	// claimGrace is added to a run's deadline before a claim that nobody
-	// settled counts as unknown.
+	// claimGrace is added to a run's deadline before a claim that was not settled counts as
+	// unknown.
 	claimGrace = 10 * time.Second
-	// Each command forgets at most this many old claims, so that none takes long.
-	expirePerCommand = 16
+	// maxExpiredPerCommand is the maximum number of claims that a command expires, so that
+	// no command takes long.
+	maxExpiredPerCommand = 16
 )
 
 type claimKey struct {
@@ -35,47 +36,47 @@
 
 type claimTable struct {
 	byKey map[claimKey]*schema.Claim
-	// order lists claims by time; settled or released ones may still be in it.
+	// order lists claims by time; it may still contain settled or released ones.
 	order []*schema.Claim
-	// answered lists the claims with a kept answer, oldest first, and kept is
+	// withAnswer lists the claims with a stored response, oldest first, and answerBytes is
 	// the size of their bodies.
-	answered []claimKey
-	kept     int
+	withAnswer  []claimKey
+	answerBytes int
 }
 
 func newClaimTable() claimTable {
 	return claimTable{byKey: map[claimKey]*schema.Claim{}}
 }
 
-func (t *claimTable) restore(c *schema.Claim) {
+func (t *claimTable) add(c *schema.Claim) {
 	k := claimKey{c.GetCustomer(), c.GetKey()}
 	t.byKey[k] = c
 	t.order = append(t.order, c)
-	t.noteAnswer(k, c)
+	t.addAnswer(k, c)
 }
 
-// noteAnswer counts a kept answer and drops the oldest ones above the limit.
-func (t *claimTable) noteAnswer(k claimKey, c *schema.Claim) {
+// addAnswer adds a claim's stored response and drops the oldest bodies above the limit.
+func (t *claimTable) addAnswer(k claimKey, c *schema.Claim) {
 	if len(c.GetAnswer().GetBody()) == 0 {
 		return
 	}
-	t.answered = append(t.answered, k)
-	t.kept += len(c.GetAnswer().GetBody())
-	for t.kept > MaxTotalAnswerBytes {
-		oldest := t.answered[0]
-		t.answered = t.answered[1:]
+	t.withAnswer = append(t.withAnswer, k)
+	t.answerBytes += len(c.GetAnswer().GetBody())
+	for t.answerBytes > MaxTotalAnswerBytes {
+		oldest := t.withAnswer[0]
+		t.withAnswer = t.withAnswer[1:]
 		old, ok := t.byKey[oldest]
 		if !ok {
 			continue
 		}
-		t.kept -= len(old.GetAnswer().GetBody())
+		t.answerBytes -= len(old.GetAnswer().GetBody())
 		next := proto.Clone(old).(*schema.Claim)
 		next.Answer = &schema.Answer{Status: old.GetAnswer().GetStatus(), Omitted: true}
 		t.byKey[oldest] = next
 	}
 }
 
-// all returns the claims in the order of their numbers, which is that of time.
+// all returns the claims by number, which is also the order of time.
 func (t *claimTable) all() []*schema.Claim {
 	return slices.SortedFunc(maps.Values(t.byKey), func(a, b *schema.Claim) int {
 		return int(a.GetNumber()) - int(b.GetNumber())
@@ -83,43 +84,43 @@
 }
 
 func (t *claimTable) expire(nowMs int64) {
-	for range expirePerCommand {
+	for range maxExpiredPerCommand {
 		if len(t.order) == 0 || t.order[0].GetClaimedMs()+ClaimRetention.Milliseconds() > nowMs {
 			return
 		}
 		old := t.order[0]
 		k := claimKey{old.GetCustomer(), old.GetKey()}
-		if kept, ok := t.byKey[k]; ok && kept.GetNumber() == old.GetNumber() {
-			t.kept -= len(kept.GetAnswer().GetBody())
+		if stored, ok := t.byKey[k]; ok && stored.GetNumber() == old.GetNumber() {
+			t.answerBytes -= len(stored.GetAnswer().GetBody())
 			delete(t.byKey, k)
 		}
 		t.order = t.order[1:]
 	}
 }
 
-// claim lets one run of a non-idempotent request begin. Every later arrival of
-// its key, at any entry, learns what became of that run instead.
+// claim allows one run of a non-idempotent request. Every later arrival of its key, at any
+// entry, receives the state of that run instead.
 func (l *Ledger) claim(q *schema.ClaimRequest) *schema.Result {
 	k := claimKey{q.GetCustomer(), q.GetKey()}
 	if old, ok := l.claims.byKey[k]; ok {
-		return l.claimAgain(k, old, q)
+		return l.repeatClaim(k, old, q)
 	}
 	if len(l.claims.byKey) >= ClaimLimit {
 		return refuse(schema.ResultCode_RESULT_CODE_OVER_BOUND, "%d request keys are remembered", ClaimLimit)
 	}
 	c := &schema.Claim{
 		Customer: q.GetCustomer(), Key: q.GetKey(), Digest: q.GetDigest(),
-		State: schema.ClaimState_CLAIM_STATE_RUNNING, Number: l.number(),
+		State: schema.ClaimState_CLAIM_STATE_RUNNING, Number: l.nextNumber(),
 		Entry: q.GetEntry(), EntryIncarnation: q.GetEntryIncarnation(), Attempt: q.GetAttempt(),
 		ClaimedMs: l.clockMs, DeadlineMs: q.GetDeadlineMs(),
 	}
-	l.claims.restore(c)
+	l.claims.add(c)
 	out := accepted()
 	out.Claim = c
 	return out
 }
 
-func (l *Ledger) claimAgain(k claimKey, old *schema.Claim, q *schema.ClaimRequest) *schema.Result {
+func (l *Ledger) repeatClaim(k claimKey, old *schema.Claim, q *schema.ClaimRequest) *schema.Result {
 	if string(old.GetDigest()) != string(q.GetDigest()) {
 		return refuse(schema.ResultCode_RESULT_CODE_KEY_REUSED, "the key belongs to another request")
 	}
@@ -131,7 +132,7 @@
 		out.Claim = old
 		return out
 	}
-	// The entry that ran it must have died before it could tell the outcome.
+	// The entry that ran it must have ended before it could report the outcome.
 	if running && l.clockMs > old.GetDeadlineMs()+claimGrace.Milliseconds() {
 		old = l.replaceClaim(k, old, schema.ClaimState_CLAIM_STATE_UNKNOWN, nil)
 	}
@@ -146,8 +147,7 @@
 	if !ok || old.GetNumber() != q.GetNumber() {
 		return refuse(schema.ResultCode_RESULT_CODE_NOT_FOUND, "claim %d is gone", q.GetNumber())
 	}
-	// An outcome that is offered twice is recorded once; one that is known does
-	// not become unknown again.
+	// A repeated outcome is recorded once, and a known one does not become unknown again.
 	if old.GetState() == schema.ClaimState_CLAIM_STATE_DONE {
 		return refuse(schema.ResultCode_RESULT_CODE_STALE, "claim %d is settled", q.GetNumber())
 	}
@@ -155,7 +155,7 @@
 	case schema.ClaimOutcome_CLAIM_OUTCOME_DONE:
 		l.replaceClaim(k, old, schema.ClaimState_CLAIM_STATE_DONE, boundAnswer(q.GetAnswer()))
 	case schema.ClaimOutcome_CLAIM_OUTCOME_NOT_RUN:
-		// Only an entry that proved that nothing ran says so; the key is free.
+		// Only an entry that proved that nothing ran reports this; the key becomes free.
 		if old.GetState() != schema.ClaimState_CLAIM_STATE_RUNNING {
 			return refuse(schema.ResultCode_RESULT_CODE_STALE, "claim %d is no longer running", q.GetNumber())
 		}
@@ -173,7 +173,7 @@
 	next.State = state
 	next.Answer = a
 	l.claims.byKey[k] = next
-	l.claims.noteAnswer(k, next)
+	l.claims.addAnswer(k, next)
 	return next
 }
 
--- a/internal/ledger/intents.go
+++ b/internal/ledger/intents.go
@@ -17,15 +17,15 @@
 )
 
 func (l *Ledger) applyIntent(cmd *schema.Command, q *schema.ApplyIntent) *schema.Result {
-	// Two operators who saw the same revision: the first one's command moves
-	// it, the second learns by whom.
+	// Of two operators with the same base revision, the first one's command advances it,
+	// and the second one is refused with the name of the first.
 	if q.GetBase() != l.operatorRevision {
 		return refuse(schema.ResultCode_RESULT_CODE_STALE,
 			"the command is based on revision %d; revision is %d since command %q of operator %q",
 			q.GetBase(), l.operatorRevision, l.lastCommand, l.lastOperator)
 	}
-	if why := l.intentFault(q.GetIntent()); why != "" {
-		return refuse(schema.ResultCode_RESULT_CODE_INVALID, "%s", why)
+	if reason := l.validateIntent(q.GetIntent()); reason != "" {
+		return refuse(schema.ResultCode_RESULT_CODE_INVALID, "%s", reason)
 	}
 	l.acceptOperator(cmd)
 	out := accepted()
@@ -35,12 +35,12 @@
 
 func (l *Ledger) newPlan(operator string, in *schema.Intent, forecasts []*schema.PlanLine) *schema.Plan {
 	p := &schema.Plan{
-		Number: l.number(), State: schema.PlanState_PLAN_STATE_PENDING, Intent: in,
+		Number: l.nextNumber(), State: schema.PlanState_PLAN_STATE_PENDING, Intent: in,
 		Ground: l.configRevision, Operator: operator,
 	}
 	p.Lines = l.planLines(in, forecasts)
 	l.putPlan(p)
-	l.forgetPlans()
+	l.evictPlan()
 	return p
 }
 
@@ -51,7 +51,7 @@
 	}
 	if p.GetState() != schema.PlanState_PLAN_STATE_PENDING {
 		out := refuse(schema.ResultCode_RESULT_CODE_STALE, "plan %d is already %s by operator %q",
-			p.GetNumber(), planStateWord(p.GetState()), p.GetOperator())
+			p.GetNumber(), planStateName(p.GetState()), p.GetOperator())
 		out.Plan = p
 		return out
 	}
@@ -62,25 +62,25 @@
 	if p.GetGround() != l.configRevision {
 		return l.replan(cmd, p)
 	}
-	// What the plan was checked against may have changed without a plan: the
-	// servers.
-	if why := l.intentFault(p.GetIntent()); why != "" {
-		return refuse(schema.ResultCode_RESULT_CODE_INVALID, "%s", why)
+	// The servers, against which the plan was checked, may have changed without a plan.
+	if reason := l.validateIntent(p.GetIntent()); reason != "" {
+		return refuse(schema.ResultCode_RESULT_CODE_INVALID, "%s", reason)
 	}
 	l.acceptOperator(cmd)
 	l.configRevision = l.index
-	l.enforce(p)
+	l.activatePlan(p)
 	return l.finishPlan(cmd, p, schema.PlanState_PLAN_STATE_CONFIRMED)
 }
 
-// replan answers the confirmation of a plan whose ground moved by a new plan.
+// replan refuses the confirmation of a plan that was computed from an outdated
+// configuration, and attaches a new plan.
 func (l *Ledger) replan(cmd *schema.Command, p *schema.Plan) *schema.Result {
 	l.finishPlan(cmd, p, schema.PlanState_PLAN_STATE_STALE)
 	out := refuse(schema.ResultCode_RESULT_CODE_STALE,
 		"plan %d was computed from configuration %d; configuration %d is in force since command %q of operator %q",
 		p.GetNumber(), p.GetGround(), l.configRevision, l.lastCommand, l.lastOperator)
-	if why := l.intentFault(p.GetIntent()); why != "" {
-		out.Reason += "; no new plan: " + why
+	if reason := l.validateIntent(p.GetIntent()); reason != "" {
+		out.Reason += "; no new plan: " + reason
 		return out
 	}
 	out.Plan = l.newPlan(cmd.GetOperator(), p.GetIntent(), p.GetLines())
@@ -105,61 +105,61 @@
 	l.put(&schema.Record{Key: PlanKey(p.GetNumber()), Value: &schema.Record_Plan{Plan: p}})
 }
 
-// forgetPlans drops the oldest plans that are not in force.
-func (l *Ledger) forgetPlans() {
-	if len(l.records.plans) <= planLimit+len(l.intents) {
+// evictPlan drops the oldest plan that is not in force, if there are too many.
+func (l *Ledger) evictPlan() {
+	if len(l.records.plans) <= maxInactivePlans+len(l.planByIntent) {
 		return
 	}
 	for _, p := range l.records.Plans() {
-		if l.intents[p.GetIntent().GetName()] != p.GetNumber() {
+		if l.planByIntent[p.GetIntent().GetName()] != p.GetNumber() {
 			l.drop(PlanKey(p.GetNumber()))
 			return
 		}
 	}
 }
 
-// enforce puts a confirmed plan's intent in force in place of its predecessor.
-func (l *Ledger) enforce(p *schema.Plan) {
+// activatePlan puts the intent of a confirmed plan in force and replaces its predecessor.
+func (l *Ledger) activatePlan(p *schema.Plan) {
 	in := p.GetIntent()
 	var old *schema.Intent
-	if n, ok := l.intents[in.GetName()]; ok {
+	if n, ok := l.planByIntent[in.GetName()]; ok {
 		old = l.records.Plan(n).GetIntent()
 	}
 	for _, t := range targetsOf(old) {
-		dropFrom(l.definers, t, in.GetName())
+		removeFrom(l.intentsByTarget, t, in.GetName())
 	}
 	for _, t := range targetsOf(in) {
-		addTo(l.definers, t, in.GetName(), true)
+		addTo(l.intentsByTarget, t, in.GetName(), true)
 	}
-	l.intents[in.GetName()] = p.GetNumber()
+	l.planByIntent[in.GetName()] = p.GetNumber()
 	l.dropOrphans(old, in)
 	l.putCustomer(in.GetCustomer())
 	for _, rec := range recordsOf(in) {
-		l.putChanged(rec)
+		l.putIfChanged(rec)
 	}
 }
 
-// dropOrphans removes what the old intent named and nothing names any more.
+// dropOrphans removes what the old intent named and no intent names any longer.
 func (l *Ledger) dropOrphans(old, in *schema.Intent) {
-	kept := map[string]bool{}
+	named := map[string]bool{}
 	for _, t := range targetsOf(in) {
-		kept[t] = true
+		named[t] = true
 	}
 	customer := old.GetCustomer().GetName()
 	for _, t := range targetsOf(old) {
-		if (!kept[t] || customer != in.GetCustomer().GetName()) && !l.reachedOtherwise(customer, t, in.GetName()) {
+		if (!named[t] || customer != in.GetCustomer().GetName()) && !l.reachedByOtherIntent(customer, t, in.GetName()) {
 			l.drop(ReachKey(customer, t))
 		}
-		if len(l.definers[t]) == 0 {
+		if len(l.intentsByTarget[t]) == 0 {
 			l.drop(ModelKey(t))
 			l.drop(ServiceKey(t))
 		}
 	}
 }
 
-func (l *Ledger) reachedOtherwise(customer, target, except string) bool {
-	for name := range l.definers[target] {
-		if name != except && l.records.Plan(l.intents[name]).GetIntent().GetCustomer().GetName() == customer {
+func (l *Ledger) reachedByOtherIntent(customer, target, except string) bool {
+	for name := range l.intentsByTarget[target] {
+		if name != except && l.records.Plan(l.planByIntent[name]).GetIntent().GetCustomer().GetName() == customer {
 			return true
 		}
 	}
@@ -167,14 +167,15 @@
 }
 
 func (l *Ledger) putCustomer(c *schema.CustomerIntent) {
-	l.putChanged(&schema.Record{Key: CustomerKey(c.GetName()), Value: &schema.Record_Customer{Customer: &schema.Customer{
+	l.putIfChanged(&schema.Record{Key: CustomerKey(c.GetName()), Value: &schema.Record_Customer{Customer: &schema.Customer{
 		Name: c.GetName(), MaxConcurrent: c.GetMaxConcurrent(), Priority: c.GetPriority(),
 		DefaultDeadlineMs: c.GetDefaultDeadline().AsDuration().Milliseconds(),
 	}}})
 }
 
-// putChanged spares followers the records that stayed the same.
-func (l *Ledger) putChanged(rec *schema.Record) {
+// putIfChanged stores a record unless it is unchanged, so that followers receive only
+// changes.
+func (l *Ledger) putIfChanged(rec *schema.Record) {
 	if old := l.records.Record(rec.GetKey()); old != nil {
 		rec.Revision = old.GetRevision()
 		if proto.Equal(old, rec) {
@@ -217,7 +218,7 @@
 	return out
 }
 
-// modelsOf returns the models and adapters that an intent asks for.
+// modelsOf returns the models and adapters of an intent.
 func modelsOf(in *schema.Intent) []*schema.Model {
 	var out []*schema.Model
 	for _, m := range in.GetModels() {
@@ -236,7 +237,7 @@
 	return out
 }
 
-// planLines tells what a confirmation would change, target by target.
+// planLines returns what a confirmation would change, one line for each target.
 func (l *Ledger) planLines(in *schema.Intent, forecasts []*schema.PlanLine) []*schema.PlanLine {
 	known := map[string]*schema.PlanLine{}
 	for _, f := range forecasts {
@@ -272,21 +273,21 @@
 }
 
 func (l *Ledger) removedLines(in *schema.Intent) []*schema.PlanLine {
-	gone := map[string]bool{}
-	for _, t := range targetsOf(l.records.Plan(l.intents[in.GetName()]).GetIntent()) {
-		gone[t] = true
+	removed := map[string]bool{}
+	for _, t := range targetsOf(l.records.Plan(l.planByIntent[in.GetName()]).GetIntent()) {
+		removed[t] = true
 	}
 	for _, t := range targetsOf(in) {
-		delete(gone, t)
+		delete(removed, t)
 	}
 	var out []*schema.PlanLine
-	for _, t := range slices.Sorted(maps.Keys(gone)) {
+	for _, t := range slices.Sorted(maps.Keys(removed)) {
 		out = append(out, &schema.PlanLine{Target: t, Change: changeRemove})
 	}
 	return out
 }
 
-func planStateWord(s schema.PlanState) string {
+func planStateName(s schema.PlanState) string {
 	switch s {
 	case schema.PlanState_PLAN_STATE_CONFIRMED:
 		return "confirmed"
--- a/internal/ledger/known_test.go
+++ b/internal/ledger/known_test.go
@@ -10,9 +10,9 @@
 	"fennelyard/internal/schema"
 )
 
-// Recorded servers are there for the next leader, also through a snapshot, until they
-// are forgotten. Entries are not sent them.
-func TestServersAreRemembered(t *testing.T) {
+// Recorded servers must be available to the next leader, also after a snapshot, until they
+// are removed. They are not sent to entries.
+func TestKnownServersAreRecorded(t *testing.T) {
 	l := ledger.New()
 	apply := func(index uint64, q *schema.RememberServers) {
 		data, err := proto.Marshal(&schema.Command{Body: &schema.Command_RememberServers{RememberServers: q}})
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -12,21 +12,19 @@
 )
 
 const (
-	// resultLimit is how many results of operators' commands are kept for
-	// resends.
-	resultLimit = 10000
-	// planLimit is how many plans that are no longer in force are kept.
-	planLimit = 1000
+	// maxResults is how many results of operators' commands are stored for resends.
+	maxResults = 10000
+	// maxInactivePlans is how many plans that are not in force are stored.
+	maxInactivePlans = 1000
 )
 
-// Ledger is the state machine of the control group. Apply is deterministic:
-// it uses no clock but the commands' own. All methods are safe from any
-// goroutine.
+// Ledger is the state machine of the control group. Apply is deterministic: its only clock
+// is that of the commands. All methods are safe for concurrent use.
 type Ledger struct {
 	mu sync.RWMutex
 	// index is the log index of the last applied command.
 	index uint64
-	// clockMs is the highest leader's clock seen; it never goes back.
+	// clockMs is the highest leader's clock in a command; it never decreases.
 	clockMs int64
 	// configRevision is the index of the last confirmed plan.
 	configRevision uint64
@@ -34,21 +32,21 @@
 	operatorRevision uint64
 	lastOperator     string
 	lastCommand      string
-	// lastNumber was given to the latest reservation, order, plan or claim.
+	// lastNumber is the number of the latest reservation, order, plan or claim.
 	lastNumber uint64
 	records    *Records
-	ring       changeRing
-	// definers holds the confirmed intents that name a target.
-	definers map[string]map[string]bool
-	// intents holds the number of the plan in force for each intent.
-	intents map[string]uint64
-	claims  claimTable
-	results map[string]*schema.CommandResult
+	changes    changeLog
+	// intentsByTarget holds the names of the confirmed intents that name a target.
+	intentsByTarget map[string]map[string]bool
+	// planByIntent holds the number of the plan in force for each intent.
+	planByIntent map[string]uint64
+	claims       claimTable
+	results      map[string]*schema.CommandResult
 	// resultOrder lists the ids in results, oldest first.
 	resultOrder []string
-	// touched is set when the command at hand changed a record.
-	touched bool
-	changed chan struct{}
+	// recordsChanged is set when the current command has changed a record.
+	recordsChanged bool
+	changed        chan struct{}
 }
 
 // New returns an empty ledger.
@@ -62,9 +60,9 @@
 	l.index, l.clockMs, l.configRevision, l.operatorRevision, l.lastNumber = 0, 0, 0, 0, 0
 	l.lastOperator, l.lastCommand = "", ""
 	l.records = NewRecords()
-	l.ring = changeRing{}
-	l.definers = map[string]map[string]bool{}
-	l.intents = map[string]uint64{}
+	l.changes = changeLog{}
+	l.intentsByTarget = map[string]map[string]bool{}
+	l.planByIntent = map[string]uint64{}
 	l.claims = newClaimTable()
 	l.results = map[string]*schema.CommandResult{}
 	l.resultOrder = nil
@@ -80,55 +78,55 @@
 		return refuse(schema.ResultCode_RESULT_CODE_INVALID, "the command cannot be read")
 	}
 	l.clockMs = max(l.clockMs, cmd.GetAtMs())
-	l.touched = false
+	l.recordsChanged = false
 	l.claims.expire(l.clockMs)
 	result := l.applyOnce(cmd)
-	if l.touched {
-		l.announce()
+	if l.recordsChanged {
+		l.notifyChanged()
 	}
 	return result
 }
 
-// Advance takes note of a log entry that holds no command.
+// Advance records the index of a log entry without a command.
 func (l *Ledger) Advance(index uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.index = index
-	l.announce()
+	l.notifyChanged()
 }
 
-// applyOnce gives a resent command its first result. Without it an operator
-// who lost the answer and sends again would have the command applied twice.
+// applyOnce returns the first result for a resent command. Otherwise the command of an
+// operator who lost the response and sends it again would be applied twice.
 func (l *Ledger) applyOnce(cmd *schema.Command) *schema.Result {
 	if cmd.GetId() == "" {
 		return l.apply(cmd)
 	}
 	digest := digestOf(cmd)
-	if kept, ok := l.results[cmd.GetId()]; ok {
-		if string(kept.GetDigest()) == string(digest) {
-			return kept.GetResult()
+	if stored, ok := l.results[cmd.GetId()]; ok {
+		if string(stored.GetDigest()) == string(digest) {
+			return stored.GetResult()
 		}
 		return refuse(schema.ResultCode_RESULT_CODE_ID_REUSED,
-			"command id %q belongs to another command, of operator %q", cmd.GetId(), kept.GetOperator())
+			"command id %q belongs to another command, of operator %q", cmd.GetId(), stored.GetOperator())
 	}
 	result := l.apply(cmd)
-	l.keepResult(&schema.CommandResult{
+	l.storeResult(&schema.CommandResult{
 		Id: cmd.GetId(), Digest: digest, Operator: cmd.GetOperator(), Result: result, Index: l.index,
 	})
 	return result
 }
 
-func (l *Ledger) keepResult(r *schema.CommandResult) {
+func (l *Ledger) storeResult(r *schema.CommandResult) {
 	l.results[r.GetId()] = r
 	l.resultOrder = append(l.resultOrder, r.GetId())
-	if len(l.resultOrder) > resultLimit {
+	if len(l.resultOrder) > maxResults {
 		delete(l.results, l.resultOrder[0])
 		l.resultOrder = l.resultOrder[1:]
 	}
 }
 
-// digestOf leaves out the clock and the leader's forecasts, which differ
-// between a command and its resend.
+// digestOf returns a command's digest without the clock and the leader's forecasts, which
+// differ between a command and its resend.
 func digestOf(cmd *schema.Command) []byte {
 	c := proto.Clone(cmd).(*schema.Command)
 	c.AtMs = 0
@@ -167,7 +165,7 @@
 	case *schema.Command_DepartServer:
 		r = l.departServer(b.DepartServer)
 	case *schema.Command_AssignOrderHolders:
-		r = l.assignHolders(b.AssignOrderHolders)
+		r = l.assignOrderHolders(b.AssignOrderHolders)
 	case *schema.Command_RememberServers:
 		r = l.rememberServers(b.RememberServers)
 	case *schema.Command_RememberSuspects:
@@ -195,11 +193,11 @@
 func (l *Ledger) put(rec *schema.Record) {
 	rec.Revision = l.index
 	l.records.Put(rec)
-	l.ring.add(l.index, rec.GetKey())
-	l.touched = true
+	l.changes.add(l.index, rec.GetKey())
+	l.recordsChanged = true
 }
 
-func (l *Ledger) announce() {
+func (l *Ledger) notifyChanged() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
@@ -210,7 +208,7 @@
 	}
 }
 
-func (l *Ledger) number() uint64 {
+func (l *Ledger) nextNumber() uint64 {
 	l.lastNumber++
 	return l.lastNumber
 }
@@ -221,7 +219,7 @@
 	l.lastCommand = cmd.GetId()
 }
 
-// Snapshot encodes the whole state. Equal states give equal bytes.
+// Snapshot encodes the whole state. Equal states have equal encodings.
 func (l *Ledger) Snapshot() ([]byte, error) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -240,7 +238,7 @@
 	return data, nil
 }
 
-// Restore replaces the state by a snapshot; empty data is the empty state.
+// Restore replaces the state with that of a snapshot; empty data is the empty state.
 func (l *Ledger) Restore(data []byte) error {
 	s := &schema.LedgerSnapshot{}
 	if err := proto.Unmarshal(data, s); err != nil {
@@ -255,21 +253,21 @@
 	for _, rec := range s.GetRecords() {
 		l.records.Put(rec)
 	}
-	// Deletions before the snapshot are not known any more.
-	l.ring.floor = s.GetIndex()
+	// Deletions before the snapshot are unknown.
+	l.changes.floor = s.GetIndex()
 	l.rebuildIntents()
 	for _, c := range s.GetClaims() {
-		l.claims.restore(c)
+		l.claims.add(c)
 	}
 	for _, r := range s.GetCommandResults() {
-		l.keepResult(r)
+		l.storeResult(r)
 	}
-	l.announce()
+	l.notifyChanged()
 	return nil
 }
 
-// View calls f with the state; f must neither keep the records' maps nor call
-// the ledger.
+// View calls f with the state under a read lock. f must neither retain the records' maps
+// nor call the ledger.
 func (l *Ledger) View(f func(Status, *Records)) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -279,7 +277,8 @@
 	}, l.records)
 }
 
-// Status are the ledger's present revisions.
+// Status holds the ledger's revisions, the last operator's command and the number of
+// claims.
 type Status struct {
 	Index            uint64
 	ConfigRevision   uint64
@@ -296,14 +295,14 @@
 	return l.changed
 }
 
-// Since returns what a follower at a revision lacks.
+// Since returns the changes that a follower at a revision lacks.
 func (l *Ledger) Since(after uint64) *schema.Changes {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	return changesSince(l.records, &l.ring, l.index, after)
+	return changesSince(l.records, &l.changes, l.index, after)
 }
 
-// rebuildIntents derives the intents in force from the confirmed plans.
+// rebuildIntents computes the intents in force from the confirmed plans.
 func (l *Ledger) rebuildIntents() {
 	var confirmed []*schema.Plan
 	for _, p := range l.records.Plans() {
@@ -313,11 +312,11 @@
 	}
 	sort.Slice(confirmed, func(i, j int) bool { return confirmed[i].GetMade() < confirmed[j].GetMade() })
 	for _, p := range confirmed {
-		l.intents[p.GetIntent().GetName()] = p.GetNumber()
+		l.planByIntent[p.GetIntent().GetName()] = p.GetNumber()
 	}
-	for name, number := range l.intents {
+	for name, number := range l.planByIntent {
 		for _, t := range targetsOf(l.records.Plan(number).GetIntent()) {
-			addTo(l.definers, t, name, true)
+			addTo(l.intentsByTarget, t, name, true)
 		}
 	}
 }
--- a/internal/ledger/records.go
+++ b/internal/ledger/records.go
@@ -8,9 +8,9 @@
 	"fennelyard/internal/schema"
 )
 
-// Records holds the keyed records of the replicated state with their indexes.
-// Values are never changed once put, so a reader may keep them. Records itself
-// is not safe for several goroutines.
+// Records holds the records of the replicated state by key, with indexes. Values are never
+// modified after Put, so a reader may retain them. Records itself is not safe for
+// concurrent use.
 type Records struct {
 	byKey     map[string]*schema.Record
 	customers map[string]*schema.Customer
@@ -18,12 +18,11 @@
 	services  map[string]*schema.Service
 	servers   map[string]*schema.Server
 	plans     map[uint64]*schema.Plan
-	// reservations holds each one under its number; byTarget and byServer hold
-	// the same ones.
+	// reservations is keyed by number; byTarget and byServer index the same reservations.
 	reservations map[uint64]*schema.Reservation
 	byTarget     map[string]map[uint64]*schema.Reservation
 	byServer     map[string]map[uint64]*schema.Reservation
-	// pinned holds the models with a lower bound above 0.
+	// pinned holds the names of the models with a lower bound above 0.
 	pinned map[string]bool
 	// byService holds the application servers of a service by name.
 	byService map[string]map[string]*schema.Server
@@ -32,7 +31,7 @@
 	teams     map[string]*schema.Team
 }
 
-// NewRecords returns an empty set.
+// NewRecords returns an empty set of records.
 func NewRecords() *Records {
 	return &Records{
 		byKey:        map[string]*schema.Record{},
@@ -75,7 +74,8 @@
 // PlanKey returns the key of a plan's record.
 func PlanKey(number uint64) string { return "plan/" + strconv.FormatUint(number, 10) }
 
-// Put stores a record under its key, or drops the key of a deleted one.
+// Put stores a record under its key, or removes the record of the key if it is marked as
+// deleted.
 func (r *Records) Put(rec *schema.Record) {
 	if old, ok := r.byKey[rec.GetKey()]; ok {
 		r.unindex(old)
@@ -130,7 +130,7 @@
 		delete(r.services, v.Service.GetName())
 	case *schema.Record_Server:
 		delete(r.servers, v.Server.GetName())
-		dropFrom(r.byService, v.Server.GetService(), v.Server.GetName())
+		removeFrom(r.byService, v.Server.GetService(), v.Server.GetName())
 	case *schema.Record_Route:
 		delete(r.routes, v.Route.GetName())
 	case *schema.Record_Pool:
@@ -141,8 +141,8 @@
 		delete(r.plans, v.Plan.GetNumber())
 	case *schema.Record_Reservation:
 		delete(r.reservations, v.Reservation.GetNumber())
-		dropFrom(r.byTarget, v.Reservation.GetTarget(), v.Reservation.GetNumber())
-		dropFrom(r.byServer, v.Reservation.GetServer(), v.Reservation.GetNumber())
+		removeFrom(r.byTarget, v.Reservation.GetTarget(), v.Reservation.GetNumber())
+		removeFrom(r.byServer, v.Reservation.GetServer(), v.Reservation.GetNumber())
 	}
 }
 
@@ -153,7 +153,7 @@
 	index[key][name] = value
 }
 
-func dropFrom[K, N comparable, V any](index map[K]map[N]V, key K, name N) {
+func removeFrom[K, N comparable, V any](index map[K]map[N]V, key K, name N) {
 	delete(index[key], name)
 	if len(index[key]) == 0 {
 		delete(index, key)
@@ -234,7 +234,7 @@
 	return sortedValues(r.byService[service])
 }
 
-// UsedMiB returns the memory reserved on one accelerator.
+// UsedMiB returns the memory in MiB that is reserved on one accelerator.
 func (r *Records) UsedMiB(server string, accelerator uint32) uint64 {
 	var used uint64
 	for _, res := range r.byServer[server] {
--- a/internal/ledger/replica.go
+++ b/internal/ledger/replica.go
@@ -6,8 +6,7 @@
 	"fennelyard/internal/schema"
 )
 
-// Replica is an entry's copy of the records. All methods are safe from any
-// goroutine.
+// Replica is an entry's copy of the records. All methods are safe for concurrent use.
 type Replica struct {
 	mu sync.RWMutex
 	// revision never decreases.
@@ -21,9 +20,8 @@
 	return &Replica{records: NewRecords(), changed: make(chan struct{})}
 }
 
-// Apply takes in changes. It ignores those that are behind what was applied
-// already: a slow member of the control group must not take an accepted
-// configuration back.
+// Apply applies changes. It ignores changes up to an older revision than the copy's: a slow
+// member of the control group must not revert an accepted configuration.
 func (r *Replica) Apply(c *schema.Changes) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,8 +58,8 @@
 	return r.changed
 }
 
-// View calls f with the records; f must neither keep their maps nor call the
-// replica.
+// View calls f with the records under a read lock. f must neither retain their maps nor
+// call the replica.
 func (r *Replica) View(f func(*Records)) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/internal/ledger/reservations.go
+++ b/internal/ledger/reservations.go
@@ -6,9 +6,9 @@
 	"fennelyard/internal/schema"
 )
 
-// reserve is the one place where replicas and memory are counted. An order may
-// leave only after its reservation is committed, so whatever a frozen or
-// deposed leader still sends is already counted by its successor.
+// reserve is the only place where replicas and memory are counted. An order may be sent
+// only after its reservation is committed, so that a successor already counts whatever a
+// stalled or deposed leader still sends.
 func (l *Ledger) reserve(q *schema.Reserve) *schema.Result {
 	m := l.records.Model(q.GetTarget())
 	if m == nil {
@@ -20,7 +20,7 @@
 	if r := l.checkBounds(q, m); r != nil {
 		return r
 	}
-	number := l.number()
+	number := l.nextNumber()
 	res := &schema.Reservation{
 		Number: number, Target: q.GetTarget(), Version: m.GetVersion(),
 		Server: q.GetServer(), Incarnation: q.GetIncarnation(), Accelerator: q.GetAccelerator(),
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// moveReservation acts only under the reservation's latest fencing number: a
-// deposed leader's late answers carry an older one and change nothing.
+// moveReservation changes a reservation only under its latest fencing number: late reports
+// to a deposed leader have an older one and change nothing.
 func (l *Ledger) moveReservation(q *schema.MoveReservation) *schema.Result {
 	r := l.records.Reservation(q.GetNumber())
 	if r == nil {
@@ -96,28 +96,28 @@
 	switch q.GetMove() {
 	case schema.ReservationMove_RESERVATION_MOVE_LOADED:
 		if !loading {
-			return badMove(r, q)
+			return invalidMove(r, q)
 		}
 		next.State = schema.ReservationState_RESERVATION_STATE_LOADED
 	case schema.ReservationMove_RESERVATION_MOVE_UNLOADING:
-		if why := l.unloadHindrance(r); why != "" || !loaded && !loading {
-			return refuse(schema.ResultCode_RESULT_CODE_INVALID, "reservation %d cannot be unloaded: %s", r.GetNumber(), why)
+		if reason := l.unloadBlocker(r); reason != "" || !loaded && !loading {
+			return refuse(schema.ResultCode_RESULT_CODE_INVALID, "reservation %d cannot be unloaded: %s", r.GetNumber(), reason)
 		}
 		next.State = schema.ReservationState_RESERVATION_STATE_UNLOADING
-		next.Fencing = l.number()
+		next.Fencing = l.nextNumber()
 	case schema.ReservationMove_RESERVATION_MOVE_REORDERED:
 		if loaded {
-			return badMove(r, q)
+			return invalidMove(r, q)
 		}
-		next.Fencing = l.number()
+		next.Fencing = l.nextNumber()
 	case schema.ReservationMove_RESERVATION_MOVE_RELEASED:
 		if loaded {
-			return badMove(r, q)
+			return invalidMove(r, q)
 		}
 		l.drop(ReservationKey(r.GetNumber()))
 		return accepted()
 	default:
-		return badMove(r, q)
+		return invalidMove(r, q)
 	}
 	l.putReservation(next)
 	out := accepted()
@@ -125,9 +125,9 @@
 	return out
 }
 
-// unloadHindrance keeps a base model under its adapters, and keeps one order at
-// a time on an accelerator.
-func (l *Ledger) unloadHindrance(r *schema.Reservation) string {
+// unloadBlocker returns why a reservation can't be unloaded, or "": a base model must stay
+// loaded under its adapters, and an accelerator has one order at a time.
+func (l *Ledger) unloadBlocker(r *schema.Reservation) string {
 	for _, other := range l.records.byServer[r.GetServer()] {
 		if other.GetAccelerator() != r.GetAccelerator() || other.GetNumber() == r.GetNumber() {
 			continue
@@ -143,7 +143,7 @@
 	return ""
 }
 
-func badMove(r *schema.Reservation, q *schema.MoveReservation) *schema.Result {
+func invalidMove(r *schema.Reservation, q *schema.MoveReservation) *schema.Result {
 	return refuse(schema.ResultCode_RESULT_CODE_INVALID, "reservation %d is %s: no move %s",
 		r.GetNumber(), r.GetState(), q.GetMove())
 }
--- a/internal/ledger/servers.go
+++ b/internal/ledger/servers.go
@@ -12,13 +12,14 @@
 		return refuse(schema.ResultCode_RESULT_CODE_STALE, "server %q has a newer incarnation", s.GetName())
 	}
 	if old != nil && s.GetIncarnation() > old.GetIncarnation() {
-		l.passOn(s)
+		l.transferReservations(s)
 	}
 	l.put(&schema.Record{Key: ServerKey(s.GetName()), Value: &schema.Record_Server{Server: s}})
 	return accepted()
 }
 
-// forgetServer takes an operator's word as the proof that no message gives.
+// forgetServer accepts an operator's command as proof that a lost server has ended; no
+// message can prove this.
 func (l *Ledger) forgetServer(cmd *schema.Command, f *schema.ForgetServer) *schema.Result {
 	s := l.records.Server(f.GetName())
 	if s == nil || s.GetIncarnation() != f.GetIncarnation() {
@@ -29,18 +30,18 @@
 		return refuse(schema.ResultCode_RESULT_CODE_INVALID,
 			"server %q is still announcing itself; only a lost server can be forgotten", f.GetName())
 	}
-	l.releaseAll(f.GetName())
+	l.dropReservations(f.GetName())
 	l.drop(ServerKey(f.GetName()))
 	l.acceptOperator(cmd)
 	return accepted()
 }
 
-// passOn settles what was reserved under earlier incarnations. A new one proves
-// that the old process is gone, and what it held with it. It does not prove
-// where an order went that has no answer yet: given again while the server
-// restarted, it may have reached the new process before that was recorded. Such
-// a reservation stays, to be unloaded from the new incarnation.
-func (l *Ledger) passOn(s *schema.Server) {
+// transferReservations updates the reservations of a server's earlier incarnations. A new
+// incarnation proves that the old process and all it had loaded are gone. It does not prove
+// where an order without a reply went: resent while the server restarted, the order may
+// have reached the new process before that was recorded. Such a reservation stays, to be
+// unloaded from the new incarnation.
+func (l *Ledger) transferReservations(s *schema.Server) {
 	for _, r := range l.records.ReservationsOnServer(s.GetName()) {
 		if r.GetState() == schema.ReservationState_RESERVATION_STATE_LOADED || int(r.GetAccelerator()) >= len(s.GetAcceleratorMib()) {
 			l.drop(ReservationKey(r.GetNumber()))
@@ -49,13 +50,13 @@
 		next := proto.Clone(r).(*schema.Reservation)
 		next.Incarnation = s.GetIncarnation()
 		next.State = schema.ReservationState_RESERVATION_STATE_UNLOADING
-		next.Fencing = l.number()
+		next.Fencing = l.nextNumber()
 		next.ChangedMs = l.clockMs
 		l.putReservation(next)
 	}
 }
 
-func (l *Ledger) releaseAll(server string) {
+func (l *Ledger) dropReservations(server string) {
 	for _, r := range l.records.ReservationsOnServer(server) {
 		l.drop(ReservationKey(r.GetNumber()))
 	}
--- a/internal/ledger/suspects.go
+++ b/internal/ledger/suspects.go
@@ -18,14 +18,13 @@
 // SuspectKey returns the key of the record of a request that ends its servers.
 func SuspectKey(key []byte) string { return suspectPrefix + hex.EncodeToString(key) }
 
-// KnownSuspects returns the requests that end their servers as a leader recorded them, in
-// no order.
+// KnownSuspects returns the recorded requests that end their servers, in unspecified order.
 func (r *Records) KnownSuspects() []*schema.KnownSuspect {
 	return valuesOf(r, (*schema.Record).GetKnownSuspect)
 }
 
-// Suspects returns the recorded suspects with their ages as of now, for whoever has just
-// come to know the records.
+// Suspects returns the recorded suspects with their ages as of now, for a host that has
+// just loaded the records.
 func (r *Records) Suspects(now time.Time) []*schema.Suspect {
 	known := r.KnownSuspects()
 	out := make([]*schema.Suspect, 0, len(known))
@@ -38,25 +37,25 @@
 	return out
 }
 
-// rememberSuspects records requests that end their servers. After all hosts lost power
-// nobody else would know them, and each would end as many servers again.
+// rememberSuspects records requests that end their servers. After a power loss of all hosts
+// they would otherwise be unknown, and each would end as many servers again.
 func (l *Ledger) rememberSuspects(q *schema.RememberSuspects) *schema.Result {
 	for _, k := range q.GetSuspects() {
 		key := SuspectKey(k.GetSuspect().GetKey())
-		l.putChanged(&schema.Record{
-			Key: key, Value: &schema.Record_KnownSuspect{KnownSuspect: joined(l.records.Record(key).GetKnownSuspect(), k)},
+		l.putIfChanged(&schema.Record{
+			Key: key, Value: &schema.Record_KnownSuspect{KnownSuspect: mergeSuspects(l.records.Record(key).GetKnownSuspect(), k)},
 		})
 	}
 	for _, key := range q.GetForgotten() {
 		l.drop(SuspectKey(key))
 	}
-	l.dropSuspects()
+	l.evictSuspects()
 	return accepted()
 }
 
-// joined is what two hosts know of one request together: each may have seen servers end
-// that the other has not. Without news it is what was recorded.
-func joined(old, k *schema.KnownSuspect) *schema.KnownSuspect {
+// mergeSuspects merges two hosts' records of one request: each may have seen servers end
+// that the other has not. If k adds nothing, old is returned.
+func mergeSuspects(old, k *schema.KnownSuspect) *schema.KnownSuspect {
 	if old == nil {
 		return k
 	}
@@ -64,13 +63,13 @@
 	for _, e := range old.GetSuspect().GetEnded() {
 		ended[e.GetServer()] = e.GetCleared()
 	}
-	news := false
+	changed := false
 	for _, e := range k.GetSuspect().GetEnded() {
 		cleared, known := ended[e.GetServer()]
-		news = news || !known || e.GetCleared() && !cleared
+		changed = changed || !known || e.GetCleared() && !cleared
 		ended[e.GetServer()] = cleared || e.GetCleared()
 	}
-	if !news {
+	if !changed {
 		return old
 	}
 	out := &schema.KnownSuspect{
@@ -82,21 +81,22 @@
 	return out
 }
 
-// suspectsMost bounds the records: a MB of them.
-const suspectsMost = 4096
+// maxSuspects is the maximum number of records, about a MB.
+const maxSuspects = 4096
 
-// dropSuspects drops the suspects of least weight where there are too many: those under
-// which the fewest servers ended, and of these the oldest. An eighth goes at once.
-func (l *Ledger) dropSuspects() {
+// evictSuspects removes the suspects with the least evidence if there are too many: those
+// under which the fewest servers ended, and of these the oldest. It removes an eighth at
+// once.
+func (l *Ledger) evictSuspects() {
 	all := l.records.KnownSuspects()
-	if len(all) <= suspectsMost {
+	if len(all) <= maxSuspects {
 		return
 	}
 	slices.SortFunc(all, func(a, b *schema.KnownSuspect) int {
 		return cmp.Or(cmp.Compare(len(a.GetSuspect().GetEnded()), len(b.GetSuspect().GetEnded())),
 			cmp.Compare(a.GetAtMs(), b.GetAtMs()), bytes.Compare(a.GetSuspect().GetKey(), b.GetSuspect().GetKey()))
 	})
-	for _, k := range all[:len(all)-suspectsMost*7/8] {
+	for _, k := range all[:len(all)-maxSuspects*7/8] {
 		l.drop(SuspectKey(k.GetSuspect().GetKey()))
 	}
 }
--- a/internal/ledger/suspects_test.go
+++ b/internal/ledger/suspects_test.go
@@ -10,9 +10,9 @@
 	"fennelyard/internal/schema"
 )
 
-// Recorded suspects are there for the next leader, also through a snapshot, until they are
-// forgotten. Entries are told them by the leader and not as records.
-func TestSuspectsAreRemembered(t *testing.T) {
+// Recorded suspects must be available to the next leader, also after a snapshot, until they
+// are removed. Entries receive them from the leader and not as records.
+func TestSuspectsAreRecorded(t *testing.T) {
 	l := ledger.New()
 	apply := func(index uint64, q *schema.RememberSuspects) {
 		data, err := proto.Marshal(&schema.Command{Body: &schema.Command_RememberSuspects{RememberSuspects: q}})
--- a/internal/ledger/faults.go
+++ b/internal/ledger/validation.go
@@ -9,22 +9,22 @@
 	"fennelyard/internal/schema"
 )
 
-// maxNameLength bounds every name that an operator gives.
+// maxNameLength is the maximum length in bytes of a name set by an operator.
 const maxNameLength = 128
 
-// intentFault says why an intent cannot be planned, or nothing. An operator
-// must learn it before anything is confirmed.
-func (l *Ledger) intentFault(in *schema.Intent) string {
-	if why := nameFault("intent", in.GetName()); why != "" {
-		return why
+// validateIntent returns why an intent can't be planned, or "". An operator must get the
+// reason before anything is confirmed.
+func (l *Ledger) validateIntent(in *schema.Intent) string {
+	if reason := validateName("intent", in.GetName()); reason != "" {
+		return reason
 	}
-	if why := nameFault("customer", in.GetCustomer().GetName()); why != "" {
-		return why
+	if reason := validateName("customer", in.GetCustomer().GetName()); reason != "" {
+		return reason
 	}
 	seen := map[string]bool{}
 	for _, t := range targetsOf(in) {
-		if why := nameFault("target", t); why != "" {
-			return why
+		if reason := validateName("target", t); reason != "" {
+			return reason
 		}
 		if seen[t] {
 			return fmt.Sprintf("%q is named twice", t)
@@ -35,14 +35,14 @@
 		return "the intent names no model, adapter or service"
 	}
 	for _, m := range modelsOf(in) {
-		if why := l.modelFault(in, m); why != "" {
-			return why
+		if reason := l.validateModel(in, m); reason != "" {
+			return reason
 		}
 	}
-	return l.serviceFault(in)
+	return l.validateServices(in)
 }
 
-func nameFault(what, name string) string {
+func validateName(what, name string) string {
 	if name == "" {
 		return what + " name is missing"
 	}
@@ -52,7 +52,7 @@
 	return ""
 }
 
-func (l *Ledger) modelFault(in *schema.Intent, m *schema.Model) string {
+func (l *Ledger) validateModel(in *schema.Intent, m *schema.Model) string {
 	name := m.GetName()
 	switch {
 	case m.GetVersion() == "":
@@ -66,16 +66,16 @@
 	case l.records.Service(name) != nil:
 		return fmt.Sprintf("%q is a service already", name)
 	}
-	if why := l.baseFault(in, m); why != "" {
-		return why
+	if reason := l.validateBase(in, m); reason != "" {
+		return reason
 	}
 	if largest := l.largestAccelerator(); largest > 0 && m.GetMemoryMib() > largest {
 		return fmt.Sprintf("%q needs %d MiB; the largest accelerator has %d MiB", name, m.GetMemoryMib(), largest)
 	}
-	return l.conflictFault(in, m)
+	return l.validateDefinition(in, m)
 }
 
-func (l *Ledger) baseFault(in *schema.Intent, m *schema.Model) string {
+func (l *Ledger) validateBase(in *schema.Intent, m *schema.Model) string {
 	if m.GetBase() == "" {
 		return ""
 	}
@@ -91,9 +91,9 @@
 	return ""
 }
 
-// conflictFault keeps two intents from giving one name two meanings.
-func (l *Ledger) conflictFault(in *schema.Intent, m *schema.Model) string {
-	for other := range l.definers[m.GetName()] {
+// validateDefinition returns a reason if another intent defines a name differently.
+func (l *Ledger) validateDefinition(in *schema.Intent, m *schema.Model) string {
+	for other := range l.intentsByTarget[m.GetName()] {
 		if other == in.GetName() {
 			continue
 		}
@@ -114,7 +114,7 @@
 	return largest
 }
 
-func (l *Ledger) serviceFault(in *schema.Intent) string {
+func (l *Ledger) validateServices(in *schema.Intent) string {
 	for _, s := range in.GetServices() {
 		if l.records.Model(s.GetName()) != nil {
 			return fmt.Sprintf("%q is a model already", s.GetName())
