--- a/internal/role/announce_test.go
+++ b/internal/role/announce_test.go
@@ -13,14 +13,15 @@
 	"fennelyard/internal/roster"
 )
 
-// Hosts that the leader has yet to reach, or whose log lags, send every server to it: the
-// announcements of 3,000 servers keep it from reaching them.
-func TestAnnouncementsAreNotSentToTheLeader(t *testing.T) {
+// A follower that the leader has not reached yet, or whose log lags, redirects every server
+// to the leader: the announcements of 3,000 servers keep the leader from reaching its
+// followers.
+func TestFollowerDoesNotRedirectAnnouncements(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 9, 5, 1, noOne)
-		defer s.close()
-		s.await(20*time.Second, "five voters", func() bool { return s.voters() == 5 })
-		leader, follower := s.leader(), ""
+		d := newDeployment(t, 9, 5, 1, anyLeader)
+		defer d.close()
+		d.await(20*time.Second, "five voters", func() bool { return d.voters() == 5 })
+		leader, follower := d.leader(), ""
 		for i := range 5 {
 			if ip := controlIP(i); ip != leader {
 				follower = ip
@@ -29,41 +30,41 @@
 		sequence := uint64(0)
 		announce := func() error {
 			sequence++
-			return s.control[follower].Announce(context.Background(), roster.Announcement{ID: "i-1", Pool: "p", Address: "10.0.2.1:1", Sequence: sequence})
+			return d.control[follower].Announce(context.Background(), roster.Announcement{ID: "i-1", Pool: "p", Address: "10.0.2.1:1", Sequence: sequence})
 		}
-		s.await(2*time.Second, "the follower to be in touch", func() bool { return announce() == nil })
-		s.await(2*time.Second, "an acknowledgement", func() bool { return s.put(1) != "" })
-		s.stall(follower, 4*time.Second)
-		s.await(2*time.Second, "another", func() bool { return s.put(2) != "" })
+		d.await(2*time.Second, "the follower in sync", func() bool { return announce() == nil })
+		d.await(2*time.Second, "an acknowledgement", func() bool { return d.put(1) != "" })
+		d.stall(follower, 4*time.Second)
+		d.await(2*time.Second, "another acknowledgement", func() bool { return d.put(2) != "" })
 		for range 120 {
 			time.Sleep(50 * time.Millisecond)
-			var elsewhere *role.NotLeaderError
-			require.False(t, errors.As(announce(), &elsewhere), "sent to the leader")
+			var notLeader *role.NotLeaderError
+			require.False(t, errors.As(announce(), &notLeader), "redirected to the leader")
 		}
 	})
 }
 
-// A host that is cut off takes announcements for good: its servers count as gone, as nobody
-// passes on that they live.
-func TestHostThatIsCutOffTakesNoAnnouncements(t *testing.T) {
+// A partitioned host keeps accepting announcements. They do not reach the leader, which
+// considers the servers gone.
+func TestPartitionedHostRefusesAnnouncements(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 9, 5, 1, noOne)
-		defer s.close()
-		s.await(20*time.Second, "five voters", func() bool { return s.voters() == 5 })
+		d := newDeployment(t, 9, 5, 1, anyLeader)
+		defer d.close()
+		d.await(20*time.Second, "five voters", func() bool { return d.voters() == 5 })
 		follower := controlIP(4)
-		if s.leader() == follower {
+		if d.leader() == follower {
 			follower = controlIP(3)
 		}
 		sequence := uint64(0)
 		announce := func() error {
 			sequence++
-			return s.control[follower].Announce(context.Background(), roster.Announcement{ID: "i-1", Pool: "p", Address: "10.0.2.1:1", Sequence: sequence})
+			return d.control[follower].Announce(context.Background(), roster.Announcement{ID: "i-1", Pool: "p", Address: "10.0.2.1:1", Sequence: sequence})
 		}
-		s.await(2*time.Second, "the follower to be in touch", func() bool { return announce() == nil })
+		d.await(2*time.Second, "the follower in sync", func() bool { return announce() == nil })
 		for i := range 5 {
 			if other := controlIP(i); other != follower {
-				s.network.Cut(other, follower, true)
-				s.network.Cut(follower, other, true)
+				d.network.Cut(other, follower, true)
+				d.network.Cut(follower, other, true)
 			}
 		}
 		time.Sleep(4 * time.Second)
--- a/internal/role/api.go
+++ b/internal/role/api.go
@@ -1,7 +1,7 @@
-// Package role puts the parts of a host together that finds the others through
-// seeds: an entry, which takes callers' requests, or a control host, which is a
-// member of the control group and, while it leads, watches and orders the
-// backend servers.
+// Package role assembles the parts of a host that joins a deployment through its seeds. The
+// host is either an entry, which serves callers' requests, or a control host, which is a
+// member of the control group and, while it leads, monitors the backend servers and sends
+// them orders.
 package role
 
 import (
@@ -19,82 +19,82 @@
 )
 
 const (
-	// commitWait is how long a caller of the control host waits for the group;
-	// callers go to another host after a second.
-	commitWait = 900 * time.Millisecond
-	// tellWait is how long a server that leaves waits for the entries to be told.
-	// Its word counts from the acknowledgement on, and a leader that is short of
-	// processor time tells entries seconds later; the server then says it again.
-	tellWait = 600 * time.Millisecond
-	// configureWait is how long an operator whose change is durable waits for the
-	// entries to be told of it. They are told within 0.1 s of a change, 68 of them too;
-	// one that has fallen silent counts as such only after four times as long.
-	configureWait = 300 * time.Millisecond
+	// commitTimeout bounds how long a call to the control host waits for a commit. Callers
+	// try another host after 1 s.
+	commitTimeout = 900 * time.Millisecond
+	// departureAckTimeout bounds how long a departing server waits for the entries to
+	// acknowledge its departure. The departure counts from the response on, and a leader
+	// short of CPU time updates entries seconds late; the server then repeats the call.
+	departureAckTimeout = 600 * time.Millisecond
+	// configurationAckTimeout bounds how long an operator waits for the entries after a
+	// change is durable. They receive a change within 0.1 s, also when there are 68 of
+	// them; an entry counts as silent only after four times this timeout.
+	configurationAckTimeout = 300 * time.Millisecond
 )
 
 var (
-	// ErrUnavailable says that the group cannot answer now, or that the outcome of a
-	// change is not known: the caller should ask again, at any control host.
-	ErrUnavailable = errors.New("the control group gives no answer now")
-	// ErrNoConfiguration says that there is no configuration yet.
+	// ErrUnavailable is returned when the control group is unavailable or the outcome of a
+	// change is unknown. The caller should retry at any control host.
+	ErrUnavailable = errors.New("the control group is unavailable")
+	// ErrNoConfiguration is returned before the first configuration is committed.
 	ErrNoConfiguration = errors.New("there is no configuration yet")
-	// ErrUnknownPool says that the configuration in force does not know a server's pool.
+	// ErrUnknownPool is returned when the configuration in force lacks a server's pool.
 	ErrUnknownPool = errors.New("the configuration knows no such pool")
-	// ErrNoIncarnation says that a word does not tell which start of a server it is of, while
-	// the server does.
+	// ErrNoIncarnation is returned when an announcement names no incarnation of a server
+	// whose known announcements name one.
 	ErrNoIncarnation = errors.New("the server's start is not told")
 )
 
-// NotLeaderError says that another host leads.
+// NotLeaderError is returned when another host leads.
 type NotLeaderError struct {
-	// LeaderIP is the leader's.
+	// LeaderIP is the IP address of the leader.
 	LeaderIP string
 }
 
 // Error implements error.
 func (e *NotLeaderError) Error() string { return "the control host at " + e.LeaderIP + " leads" }
 
-// elsewhere returns nil only on the leader.
-func (c *Control) elsewhere() error {
-	s := c.group.Status()
+// checkLeader returns nil only on the leader.
+func (c *Control) checkLeader() error {
+	status := c.group.Status()
 	switch {
-	case s.CommittedInTerm:
+	case status.CommittedInTerm:
 		c.driver.RefreshLeadership()
 		return nil
-	case s.LeaderHost != "" && s.LeaderHost != c.self.GetPeerAddress():
-		return &NotLeaderError{LeaderIP: ipOf(s.LeaderHost)}
+	case status.LeaderHost != "" && status.LeaderHost != c.self.GetPeerAddress():
+		return &NotLeaderError{LeaderIP: ipOf(status.LeaderHost)}
 	}
 	return ErrUnavailable
 }
 
-// PutConfiguration puts a complete configuration in force. Without an error it
-// is durable at a quorum, or one with a version at least as high is, and the entries
-// that speak have said that they have it, or have been behind for withholdFor.
+// PutConfiguration puts a complete configuration in force. When it returns nil, this
+// configuration, or one with a version at least as high, is durable at a quorum, and the
+// entries that are not silent have acknowledged it or have been behind for maxWithholdTime.
 func (c *Control) PutConfiguration(ctx context.Context, q *schema.PutConfiguration) error {
-	if err := c.elsewhere(); err != nil {
+	if err := c.checkLeader(); err != nil {
 		return err
 	}
 	defer c.roster.RequestAcks()()
-	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, commitWait)
+	start := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	err := c.commit(ctx, &schema.Command{Body: &schema.Command_PutConfiguration{PutConfiguration: q}})
 	behind := ""
 	if err == nil {
-		untold := c.tellConfiguration(ctx)
-		behind = asynclog.ErrorText(untold)
-		if c.withheld.hold(untold) {
-			err = errors.Newf("tell entries: %v: %w", untold, ErrUnavailable)
+		ackErr := c.awaitConfigurationAcks(ctx)
+		behind = asynclog.ErrorText(ackErr)
+		if c.ackGate.withhold(ackErr) {
+			err = errors.Newf("await acknowledgements of entries: %v: %w", ackErr, ErrUnavailable)
 		}
 	}
 	c.cfg.Log.Info("configuration put", "version", q.GetConfiguration().GetVersion(), "routes", len(q.GetRoutes()),
 		"pools", len(q.GetPools()), "bytes", len(q.GetConfiguration().GetDocument()),
-		"took-ms", time.Since(began).Milliseconds(), "behind", behind, "error", asynclog.ErrorText(err))
+		"took-ms", time.Since(start).Milliseconds(), "behind", behind, "error", asynclog.ErrorText(err))
 	return err
 }
 
-// KeySalt returns the secret under which digests of API keys are made: the one in use, so
-// that teams whose keys stay keep their records.
+// KeySalt returns the salt for digests of API keys. It is the salt in use, if there is one,
+// so that the records of teams whose keys stay remain valid.
 func (c *Control) KeySalt() []byte {
 	var salt []byte
 	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) { salt = r.Configuration().GetKeySalt() })
@@ -104,14 +104,14 @@
 	return salt
 }
 
-// tellConfiguration waits until the entries have the newest configuration. A leader
-// that acknowledged first and then lost power left all of them with the configuration
-// before: until they noticed and another host led, 1.2 s at the best, callers were served
-// by it, and where an election needed a second round for longer than a change may take.
-// It is no more than a wait: what is acknowledged is durable, and the next leader tells
-// those that were not told.
-func (c *Control) tellConfiguration(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, configureWait)
+// awaitConfigurationAcks waits until the entries have acknowledged the newest
+// configuration. If a leader acknowledged a change and lost power before any entry received
+// it, entries would serve callers by the previous configuration until they noticed and
+// another host led: at least 1.2 s, and longer than a change may take if the election
+// needed a second round. A failed wait loses nothing: what is acknowledged is durable, and
+// the next leader updates the remaining entries.
+func (c *Control) awaitConfigurationAcks(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, configurationAckTimeout)
 	defer cancel()
 	var revision uint64
 	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) {
@@ -121,7 +121,7 @@
 }
 
 func (c *Control) commit(ctx context.Context, cmd *schema.Command) error {
-	ctx, cancel := context.WithTimeout(ctx, commitWait)
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	if _, err := c.group.Commit(ctx, cmd); err != nil {
 		return errors.Newf("commit: %v: %w", err, ErrUnavailable)
@@ -129,13 +129,13 @@
 	return nil
 }
 
-// Configuration returns the operator's text of the newest configuration, as a
-// quorum confirms it.
+// Configuration returns the operator's document of the newest configuration, confirmed by a
+// quorum.
 func (c *Control) Configuration(ctx context.Context) ([]byte, error) {
-	if err := c.elsewhere(); err != nil {
+	if err := c.checkLeader(); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, commitWait)
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	if _, err := c.group.ConfirmLeadership(ctx); err != nil {
 		return nil, errors.Newf("confirm: %v: %w", err, ErrUnavailable)
@@ -148,28 +148,29 @@
 	return head.GetDocument(), nil
 }
 
-// Announce takes a backend server's announcement. Without an error the server is known to
-// the leader or about to be, and a leaving one to every later leader as well. A host that
-// follows takes the announcement of a server that takes new work for the leader; of one that
-// leaves the leader itself must know. A host that can't pass announcements on does not send
-// servers to the leader: where a new leader has yet to reach its hosts, the announcements
-// of the whole fleet would keep it from that.
+// Announce handles a backend server's announcement. When it returns nil, the leader knows
+// the server or soon will, and every later leader knows a departure.
+//
+// A follower forwards announcements of servers that accept new work; a departure must reach
+// the leader itself. A host that can't forward announcements doesn't redirect servers to
+// the leader: announcements of the whole fleet would keep a new leader from reaching its
+// hosts.
 func (c *Control) Announce(ctx context.Context, a roster.Announcement) error {
-	leads := c.group.Status().CommittedInTerm
-	if !leads && a.Leaving {
-		return c.elsewhere()
+	leading := c.group.Status().CommittedInTerm
+	if !leading && a.Leaving {
+		return c.checkLeader()
 	}
-	if !leads && !c.takesAnnouncements() {
+	if !leading && !c.relaysAnnouncements() {
 		return ErrUnavailable
 	}
-	if leads {
+	if leading {
 		c.driver.RefreshLeadership()
 	}
-	if leads && c.roster.LacksStartTime(a.ID) || !leads && c.mirror.LacksStartTime(a.ID) {
+	if leading && c.roster.LacksStartTime(a.ID) || !leading && c.mirror.LacksStartTime(a.ID) {
 		return errors.Newf("%q: %w", a.ID, ErrNoIncarnation)
 	}
-	// Who leaves is heard whatever its pool: it may have been known under another.
-	if !a.Leaving && !c.knowsPool(a.Pool) {
+	// A departure is valid for any pool: the server may be known under another one.
+	if !a.Leaving && !c.acceptsPool(a.Pool) {
 		return errors.Newf("%q: %w", a.Pool, ErrUnknownPool)
 	}
 	if a.Leaving {
@@ -177,44 +178,44 @@
 			return err
 		}
 	}
-	if leads {
-		c.take(a)
-	} else if c.heard.Add(a) {
-		c.entries.RequestReport()
+	if leading {
+		c.applyAnnouncement(a)
+	} else if c.announcements.Add(a) {
+		c.subscribers.RequestReport()
 	}
 	return nil
 }
 
-// take takes an announcement in at the leader.
-func (c *Control) take(a roster.Announcement) {
+// applyAnnouncement applies an announcement to the leader's roster.
+func (c *Control) applyAnnouncement(a roster.Announcement) {
 	if c.roster.Announce(a) && !a.Leaving && c.roster.Ready(a.ID) {
 		c.driver.HandleAnnouncement(a)
 	}
 }
 
-// knowsPool reports whether a server of a pool can be of use. Before there is a
-// configuration nobody can tell.
-func (c *Control) knowsPool(name string) bool {
-	yes := false
+// acceptsPool reports whether servers of a pool can be used. Without a configuration every
+// pool is accepted.
+func (c *Control) acceptsPool(name string) bool {
+	accepts := false
 	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) {
-		yes = r.Configuration() == nil || r.Record(ledger.PoolKey(name)) != nil
+		accepts = r.Configuration() == nil || r.Record(ledger.PoolKey(name)) != nil
 	})
-	return yes
+	return accepts
 }
 
-// Depart takes a backend server's word that it ends; it names the server, not the start
-// that it means.
+// Depart handles a backend server's report that it ends. The report names the server, not
+// the incarnation.
 func (c *Control) Depart(ctx context.Context, server string) error {
 	return c.depart(ctx, c.roster.EndingIncarnation(server))
 }
 
-// depart takes the word that an incarnation ends. A server that had no answer
-// says it again, and the first word may have been recorded after its caller was
-// gone: the entries are told whether or not the record is new, or the second word
-// would be acknowledged and requests would still be sent there. Without an error
-// all entries that speak have been told.
+// depart records that an incarnation ends. A server without a response repeats its call,
+// and the first call may have been committed after its caller was gone. The entries are
+// therefore updated whether or not the record is new: otherwise the repeated call would be
+// acknowledged while requests were still sent to the server. When depart returns nil, all
+// entries that are not silent have acknowledged the departure.
 func (c *Control) depart(ctx context.Context, id string) error {
-	if err := c.elsewhere(); err != nil {
+	if err := c.checkLeader(); err != nil {
 		return err
 	}
 	defer c.roster.RequestAcks()()
@@ -227,26 +228,26 @@
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, tellWait)
+	ctx, cancel := context.WithTimeout(ctx, departureAckTimeout)
 	defer cancel()
 	if err := c.roster.AwaitAcked(ctx, roster.Progress{Change: c.roster.Depart(id)}); err != nil {
 		c.cfg.Log.Info("departure not told", "server", id, "error", asynclog.ErrorText(err))
-		return errors.Newf("tell entries: %v: %w", err, ErrUnavailable)
+		return errors.Newf("await acknowledgements of entries: %v: %w", err, ErrUnavailable)
 	}
 	return nil
 }
 
-// departed reports whether an incarnation is recorded as leaving. A server that ended
-// while the leader knew no start of it is recorded by its id alone, which counts for
-// the starts until then.
+// departed reports whether an incarnation is recorded as departing. A server that ended
+// while the leader knew none of its incarnations is recorded by its name alone, and the
+// record applies to the incarnations that started before it.
 func (c *Control) departed(id string) bool {
-	var own, unnamed *schema.Departure
+	var named, unnamed *schema.Departure
 	name := incarnation.Parse(id)
 	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) {
-		own = r.Departure(id)
+		named = r.Departure(id)
 		unnamed = r.Departure(incarnation.Name{Server: name.Server}.String())
 	})
-	return own != nil || unnamed != nil && name.StartMs <= unnamed.GetAtMs()
+	return named != nil || unnamed != nil && name.StartMs <= unnamed.GetAtMs()
 }
 
 // Ready reports whether this leader sends new work to a backend server.
--- a/internal/role/attend.go
+++ b/internal/role/attend.go
@@ -18,69 +18,72 @@
 )
 
 const (
-	// beat is the longest time between two words of a control host to an entry.
-	beat = 300 * time.Millisecond
-	// gatherLeast is how long changes are gathered into one word at the least: an
-	// order's end and what follows from it come within a few milliseconds.
-	gatherLeast = 4 * time.Millisecond
-	// gatherPerEntry is how much longer they are gathered for each entry that attends this
-	// host: what the host spends on words does not grow with them. Without it entries were
-	// told of each change at once, 200 times a second.
-	gatherPerEntry = 2500 * time.Microsecond
-	// parkFor is how long an entry waits at a host that has not heard a leader since it
-	// started: all hosts start at once, and asked in turn by 300 entries, each many times a
-	// second, they would be kept from electing one.
-	parkFor = time.Second
-	// parkCheck is how often such a host looks whether it has heard one.
-	parkCheck = 20 * time.Millisecond
+	// entryUpdateInterval is the longest time between two updates from a control host to an
+	// entry.
+	entryUpdateInterval = 300 * time.Millisecond
+	// minBatchDelay is the shortest time for which changes are batched into one update: an
+	// order's end and its consequences arrive within a few milliseconds.
+	minBatchDelay = 4 * time.Millisecond
+	// batchDelayPerEntry is added to the batch delay for each entry subscribed to this
+	// host, so that the cost of updates does not grow with their number. Without it each
+	// change was sent to entries at once, 200 times a second.
+	batchDelayPerEntry = 2500 * time.Microsecond
+	// leaderWaitTimeout bounds how long an entry waits at a host that has not received
+	// anything from a leader since it started. All hosts start at once; if 300 entries
+	// tried them in turn many times a second, the hosts could not elect a leader.
+	leaderWaitTimeout = time.Second
+	// leaderWaitPollInterval is how often such a host checks whether it has received
+	// something from a leader.
+	leaderWaitPollInterval = 20 * time.Millisecond
 )
 
-// gatherFor is the least time between two words to an entry that waits for none of
-// the changes.
-func gatherFor(entries int) time.Duration {
-	return max(gatherLeast, time.Duration(entries)*gatherPerEntry)
+// entryBatchDelay returns the shortest time between two updates to an entry that waits for
+// none of the changes.
+func entryBatchDelay(entries int) time.Duration {
+	return max(minBatchDelay, time.Duration(entries)*batchDelayPerEntry)
 }
 
-type attendStream = grpc.BidiStreamingServer[schema.EntryNews, schema.LeaderNews]
+type entryStream = grpc.BidiStreamingServer[schema.EntryNews, schema.LeaderNews]
 
-// attend answers an entry that wants to know what the leader knows. It returns
-// when either side is gone or this host is out of touch with the leader.
-func (c *Control) attend(stream attendStream) error {
+// serveEntry serves the subscription of an entry. It returns when either side is gone or
+// this host is no longer in sync with the leader.
+func (c *Control) serveEntry(stream entryStream) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return errors.Newf("hear entry: %w", err)
 	}
-	if in, err := c.park(stream, roster.PositionOf(first.GetKnown()).Term); !in {
+	if synced, err := c.awaitLeader(stream, roster.PositionOf(first.GetKnown()).Term); !synced {
 		return err
 	}
-	a := newAttending(c, stream, first)
-	c.entries.Subscribe(a.number, a.entry, first.GetStream())
-	defer c.entries.Unsubscribe(a.number, a.entry.GetHost())
-	a.hear(first)
+	s := newEntrySession(c, stream, first)
+	c.subscribers.Subscribe(s.number, s.entry, first.GetStream())
+	defer c.subscribers.Unsubscribe(s.number, s.entry.GetHost())
+	s.handleReport(first)
 	ctx, cancel := context.WithCancel(stream.Context())
 	go func() {
-		// It ends with the stream, which ends with this call.
+		// The goroutine ends with the stream, which ends when serveEntry returns.
 		defer cancel()
-		a.listen()
+		s.receiveReports()
 	}()
-	return a.speak(ctx)
+	return s.sendUpdates(ctx)
 }
 
-// park keeps an entry that comes while this host has not heard a leader since it started.
-// One that has lost its leader, or whose log lags, or that knows only a leader of an
-// earlier term than the entry, sends it on at once: it may be cut off from a leader that
-// others hear. park returns whether the entry can be told what the leader says.
-func (c *Control) park(stream attendStream, term uint64) (bool, error) {
-	began, said := time.Now(), time.Time{}
+// awaitLeader delays an entry that subscribes before this host has received anything from a
+// leader. A host that has lost its leader, whose log lags, or that only knows a leader of
+// an earlier term than the entry redirects the entry at once: it may be cut off from a
+// leader that other hosts can reach. awaitLeader reports whether the host can send updates
+// to the entry.
+func (c *Control) awaitLeader(stream entryStream, term uint64) (bool, error) {
+	start, lastSent := time.Now(), time.Time{}
 	for {
-		if c.inTouch() && c.mirror.Position().Term >= term {
+		if c.inSync() && c.mirror.Position().Term >= term {
 			return true, nil
 		}
-		if heard, _ := c.mirror.LeaderLastSeen(); !heard.IsZero() || time.Since(began) > parkFor {
-			return false, c.refuse(stream)
+		if lastSeen, _ := c.mirror.LeaderLastSeen(); !lastSeen.IsZero() || time.Since(start) > leaderWaitTimeout {
+			return false, c.redirectEntry(stream)
 		}
-		if time.Since(said) > beat {
-			said = time.Now()
+		if time.Since(lastSent) > entryUpdateInterval {
+			lastSent = time.Now()
 			if err := stream.Send(&schema.LeaderNews{Wait: true, LeaderAgeMs: c.leaderAge()}); err != nil {
 				return false, errors.Newf("tell entry to wait: %w", err)
 			}
@@ -90,187 +93,193 @@
 			return false, nil
 		case <-c.stop:
 			return false, nil
-		case <-time.After(parkCheck):
+		case <-time.After(leaderWaitPollInterval):
 		}
 	}
 }
 
-// refuse sends an entry to another host.
-func (c *Control) refuse(stream attendStream) error {
-	news := &schema.LeaderNews{NotLeader: true, ControlAddresses: c.addresses(), LeaderAgeMs: c.leaderAge()}
-	if err := stream.Send(news); err != nil {
+// redirectEntry redirects an entry to other control hosts.
+func (c *Control) redirectEntry(stream entryStream) error {
+	update := &schema.LeaderNews{NotLeader: true, ControlAddresses: c.memberAddresses(), LeaderAgeMs: c.leaderAge()}
+	if err := stream.Send(update); err != nil {
 		return errors.Newf("refuse entry: %w", err)
 	}
 	return nil
 }
 
-// leaderAge is how long ago the leader spoke, in ms; -1: it was never heard.
+// leaderAge returns the time since the leader was last known to lead, in milliseconds, or
+// -1 if it never was.
 func (c *Control) leaderAge() int64 {
-	heard, _ := c.mirror.LeaderLastSeen()
-	if heard.IsZero() {
+	lastSeen, _ := c.mirror.LeaderLastSeen()
+	if lastSeen.IsZero() {
 		return -1
 	}
-	return time.Since(heard).Milliseconds()
+	return time.Since(lastSeen).Milliseconds()
 }
 
-// attending is one entry's stream.
-type attending struct {
+// entrySession is the stream of one subscribed entry.
+type entrySession struct {
 	c      *Control
-	stream attendStream
+	stream entryStream
 	number uint64
 	entry  *schema.RosterEntry
-	pace   pace
-	// echo is the entry's clock as its latest message left.
-	echo atomic.Uint64
-	// mu guards sent: what each word tells that the entry has not said to have taken,
-	// the oldest first.
-	mu   sync.Mutex
-	sent []sentWord
+	pacer  updatePacer
+	// echoUs is the entry's clock when it sent its latest report, in microseconds.
+	echoUs atomic.Uint64
+	// mu guards unacked: the updates that the entry has not acknowledged, oldest first.
+	mu      sync.Mutex
+	unacked []sentUpdate
 
-	// The fields below belong to speak. far is how far the entry is told.
-	far subscription.Progress
-	// suspects reads what it is told of requests that end their servers.
-	suspects *quarantine.Reader
-	members  string
-	sequence uint64
+	// The fields below belong to sendUpdates. sent is how far updates have been sent to the
+	// entry.
+	sent subscription.Progress
+	// suspects reads the suspect requests that are still to be sent.
+	suspects    *quarantine.Reader
+	sentMembers string
+	sequence    uint64
 }
 
-func newAttending(c *Control, stream attendStream, first *schema.EntryNews) *attending {
-	a := &attending{
-		c: c, stream: stream, number: c.streams.Add(1), entry: first.GetEntry(),
-		suspects: c.book.Reader(quarantine.PartHeld), far: subscription.Progress{Known: roster.PositionOf(first.GetKnown()), Revision: first.GetAfter()},
+func newEntrySession(c *Control, stream entryStream, first *schema.EntryNews) *entrySession {
+	s := &entrySession{
+		c: c, stream: stream, number: c.lastStream.Add(1), entry: first.GetEntry(),
+		suspects: c.suspects.Reader(quarantine.PartHeld),
+		sent:     subscription.Progress{Known: roster.PositionOf(first.GetKnown()), Revision: first.GetAfter()},
 	}
-	a.pace = pace{
-		beat: beat, gather: func() time.Duration { return gatherFor(c.entries.Count()) }, ended: c.stop,
-		log:    func() <-chan struct{} { return c.group.Ledger().Changed() },
-		roster: c.mirror.Changed, held: c.book.Changed, answered: c.mirror.ForecastsUpdated,
-		answers: func(q question) bool { return len(a.forecasts(q)) > 0 },
-		brings:  func(wants []*schema.ModelDemand) bool { return c.mirror.HasTargetSince(a.far.Known, wants) },
-		waiting: make(chan question, 1),
+	s.pacer = updatePacer{
+		interval: entryUpdateInterval, batchDelay: func() time.Duration { return entryBatchDelay(c.subscribers.Count()) }, stop: c.stop,
+		nextLogChange:    func() <-chan struct{} { return c.group.Ledger().Changed() },
+		nextRosterChange: c.mirror.Changed, nextSuspectChange: c.suspects.Changed, nextForecasts: c.mirror.ForecastsUpdated,
+		hasForecast: func(q forecastQuery) bool { return len(s.forecasts(q)) > 0 },
+		hasTarget:   func(targets []*schema.ModelDemand) bool { return c.mirror.HasTargetSince(s.sent.Known, targets) },
+		queries:     make(chan forecastQuery, 1),
 	}
-	return a
+	return s
 }
 
-func (a *attending) listen() {
+func (s *entrySession) receiveReports() {
 	for {
-		news, err := a.stream.Recv()
+		report, err := s.stream.Recv()
 		if err != nil {
 			return
 		}
-		a.hear(news)
+		s.handleReport(report)
 	}
 }
 
-// sentWord is how far the entry is told by a word.
-type sentWord struct {
+// sentUpdate records how far an update brings the entry.
+type sentUpdate struct {
 	sequence uint64
-	far      subscription.Progress
+	progress subscription.Progress
 }
 
-// sentMost bounds the words that are remembered: an entry confirms with each of its own,
-// three a second at the least, and the host speaks a hundred times a second at the most.
-const sentMost = 256
+// maxUnackedUpdates bounds unacked. An entry acknowledges updates with each of its reports,
+// at least three a second, and the host sends at most a hundred updates a second.
+const maxUnackedUpdates = 256
 
-// note remembers how far a word tells the entry.
-func (a *attending) note(sequence uint64) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if len(a.sent) >= sentMost {
-		// What is dropped is confirmed by a later word.
-		a.sent = a.sent[1:]
+// recordSent records how far an update brings the entry.
+func (s *entrySession) recordSent(sequence uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.unacked) >= maxUnackedUpdates {
+		// The acknowledgement of a later update covers the dropped one.
+		s.unacked = s.unacked[1:]
 	}
-	a.sent = append(a.sent, sentWord{sequence, a.far})
+	s.unacked = append(s.unacked, sentUpdate{sequence, s.sent})
 }
 
-// confirm notes how far the entry is by its own word. That a word was written to the
-// stream says nothing: a host that loses power a moment later never sent it, and
-// whoever was told that all entries know would be wrong.
-func (a *attending) confirm(taken uint64) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for len(a.sent) > 0 && a.sent[0].sequence <= taken {
-		a.c.entries.Acknowledge(a.number, a.entry.GetHost(), a.sent[0].far)
-		a.sent = a.sent[1:]
+// acknowledge records how far the entry acknowledged updates. Writing an update to the
+// stream proves nothing: a host that loses power a moment later never sent it, and a caller
+// that relied on all entries having received it would be wrong.
+func (s *entrySession) acknowledge(sequence uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for len(s.unacked) > 0 && s.unacked[0].sequence <= sequence {
+		s.c.subscribers.Acknowledge(s.number, s.entry.GetHost(), s.unacked[0].progress)
+		s.unacked = s.unacked[1:]
 	}
 }
 
-func (a *attending) hear(news *schema.EntryNews) {
-	a.echo.Store(news.GetSentUs())
-	a.confirm(news.GetTaken())
-	if a.c.book.Merge(news.GetSuspects(), false) {
-		a.c.entries.RequestReport()
+func (s *entrySession) handleReport(report *schema.EntryNews) {
+	s.echoUs.Store(report.GetSentUs())
+	s.acknowledge(report.GetTaken())
+	if s.c.suspects.Merge(report.GetSuspects(), false) {
+		s.c.subscribers.RequestReport()
 	}
-	a.c.entries.HandleReport(a.number, a.entry.GetHost(), news)
-	a.pace.hear(news.GetDemands())
+	s.c.subscribers.HandleReport(s.number, s.entry.GetHost(), report)
+	s.pacer.setQuery(report.GetDemands())
 }
 
-// speak tells the entry what changes. The first word holds everything that it lacks.
-func (a *attending) speak(ctx context.Context) error {
-	a.pace.start()
-	defer a.pace.ticker.Stop()
+// sendUpdates sends changes to the entry. The first update contains everything that the
+// entry is missing.
+func (s *entrySession) sendUpdates(ctx context.Context) error {
+	s.pacer.start()
+	defer s.pacer.ticker.Stop()
 	for {
-		if !a.c.inTouch() {
-			return a.c.refuse(a.stream)
+		if !s.c.inSync() {
+			return s.c.redirectEntry(s.stream)
 		}
-		a.pace.watch()
-		news := a.news()
-		a.note(news.GetSequence())
-		if news.GetConfirm() {
-			a.c.entries.ExpectAck(a.far)
+		s.pacer.watchChanges()
+		update := s.nextUpdate()
+		s.recordSent(update.GetSequence())
+		if update.GetConfirm() {
+			s.c.subscribers.ExpectAck(s.sent)
 		}
-		if err := a.stream.Send(news); err != nil {
+		if err := s.stream.Send(update); err != nil {
 			return errors.Newf("tell entry: %w", err)
 		}
-		if !a.pace.rest(ctx) || !a.pace.settle(ctx) {
+		if !s.pacer.awaitDue(ctx) || !s.pacer.batchUrgent(ctx) {
 			return nil
 		}
 	}
 }
 
-func (a *attending) news() *schema.LeaderNews {
-	a.sequence++
-	echo := a.echo.Load()
-	confirmed, revision := a.c.mirror.Confirmed()
-	news := a.c.mirror.Since(a.far.Known)
-	news.Sequence, news.LeaderAgeMs, news.Attending = a.sequence, a.c.leaderAge(), uint32(a.c.entries.Count())
-	a.far.Known = roster.PositionOf(news.GetKnown())
-	// What entries are not told counts as told: the orders' holders would be looked
-	// through for every word.
-	news.Changes, a.far.Revision = a.c.changes.since(a.c.group.Ledger(), a.far.Revision)
-	if !confirmed.IsZero() && a.far.Revision >= revision {
-		news.EchoUs, news.ConfirmedAgeMs = echo, ageMs(confirmed)
+func (s *entrySession) nextUpdate() *schema.LeaderNews {
+	s.sequence++
+	echo := s.echoUs.Load()
+	confirmedAt, revision := s.c.mirror.Confirmed()
+	update := s.c.mirror.Since(s.sent.Known)
+	update.Sequence, update.LeaderAgeMs, update.Attending = s.sequence, s.c.leaderAge(), uint32(s.c.subscribers.Count())
+	s.sent.Known = roster.PositionOf(update.GetKnown())
+	// Changes that are not sent to entries count as sent; otherwise the order holders would
+	// be scanned for every update.
+	update.Changes, s.sent.Revision = s.c.changesCache.since(s.c.group.Ledger(), s.sent.Revision)
+	if !confirmedAt.IsZero() && s.sent.Revision >= revision {
+		update.EchoUs, update.ConfirmedAgeMs = echo, ageMs(confirmedAt)
 	}
-	if addresses := a.c.addresses(); strings.Join(addresses, " ") != a.members {
-		a.members = strings.Join(addresses, " ")
-		news.ControlAddresses = addresses
+	if addresses := s.c.memberAddresses(); strings.Join(addresses, " ") != s.sentMembers {
+		s.sentMembers = strings.Join(addresses, " ")
+		update.ControlAddresses = addresses
 	}
-	if a.pace.asked {
-		news.Forecasts = a.forecasts(a.pace.question)
-		a.pace.asked = len(news.GetForecasts()) == 0
+	if s.pacer.queryPending {
+		update.Forecasts = s.forecasts(s.pacer.query)
+		s.pacer.queryPending = len(update.GetForecasts()) == 0
 	}
-	news.Suspects = a.suspects.Next()
-	if a.pace.due {
-		news.Loads, news.TeamUses, a.pace.due = a.c.mirror.Loads(), a.c.mirror.TeamUses(), false
+	update.Suspects = s.suspects.Next()
+	if s.pacer.intervalElapsed {
+		update.Loads, update.TeamUses, s.pacer.intervalElapsed = s.c.mirror.Loads(), s.c.mirror.TeamUses(), false
 	}
-	// A word that nobody waits for is confirmed with the entry's next one.
-	news.Confirm = news.GetConfirm() || len(news.GetChanges()) > 0 || departs(news.GetServers())
-	return news
+	// Updates that no pending change waits for are acknowledged with the entry's next
+	// report.
+	update.Confirm = update.GetConfirm() || len(update.GetChanges()) > 0 || anyNotReady(update.GetServers())
+	return update
 }
 
-// ageMs is how long ago a moment was, in ms, rounded up.
+// ageMs returns the time since a moment in milliseconds, rounded up.
 func ageMs(at time.Time) int64 { return time.Since(at).Milliseconds() + 1 }
 
-// forecastFresh is how old the leader's word on a load may be with which a question is
-// answered: it says all of them anew with each of this host's words, ten times a second.
-const forecastFresh = 150 * time.Millisecond
+// maxForecastAge is the age up to which a load forecast from the leader answers a query.
+// The leader sends all forecasts anew after each of this host's reports, ten times a
+// second.
+const maxForecastAge = 150 * time.Millisecond
 
-// forecasts is the leader's answer to a question, as far as this host has it.
-func (a *attending) forecasts(q question) []*schema.LoadForecast {
-	return a.c.mirror.Forecasts(q.wants, q.at.Add(-forecastFresh))
+// forecasts returns those of the leader's forecasts for a query that this host has
+// received.
+func (s *entrySession) forecasts(q forecastQuery) []*schema.LoadForecast {
+	return s.c.mirror.Forecasts(q.targets, q.receivedAt.Add(-maxForecastAge))
 }
 
-// departs reports whether one of some servers takes no new work.
-func departs(servers []*schema.RosterServer) bool {
+// anyNotReady reports whether any of the servers accepts no new work.
+func anyNotReady(servers []*schema.RosterServer) bool {
 	for _, s := range servers {
 		if s.GetState() != schema.RosterState_ROSTER_STATE_READY {
 			return true
@@ -279,7 +288,7 @@
 	return false
 }
 
-func (c *Control) addresses() []string {
+func (c *Control) memberAddresses() []string {
 	var out []string
 	for _, m := range c.group.Status().Membership.GetMembers() {
 		out = append(out, m.GetAddress())
@@ -287,9 +296,9 @@
 	return out
 }
 
-// forEntries keeps what entries need of the records: the routes, the pools, the teams and
-// the configuration's head without the operator's text.
-func forEntries(c *schema.Changes) *schema.Changes {
+// entryChanges returns the records that entries need: routes, pools, teams, and the
+// configuration without the operator's document.
+func entryChanges(c *schema.Changes) *schema.Changes {
 	out := &schema.Changes{Revision: c.GetRevision(), Whole: c.GetWhole()}
 	for _, rec := range c.GetRecords() {
 		switch {
--- a/internal/role/attend_test.go
+++ b/internal/role/attend_test.go
@@ -15,27 +15,27 @@
 	"fennelyard/internal/schema"
 )
 
-// Sixty-eight entries attend, and engines load and drop models 300 times a second.
-// Were each change told to each entry at once, a leader of a quarter of a core
-// would spend all of it on words and not say any more who leads; orders, and with
-// them the callers of every rare model, would wait for that.
-func TestChangesAreGatheredForManyEntries(t *testing.T) {
+// Sixty-eight entries subscribe, and engines load and unload models 300 times a second. If
+// each change were sent to each entry at once, a leader with a quarter of a core would
+// spend all of its CPU time on updates and send no heartbeats; orders, and with them the
+// callers of every rare model, would wait.
+func TestChangesAreBatchedForManyEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const entries, seconds = 68, 10
-		a, r := role.NewAttending(entries)
-		go changeOften(r, seconds*time.Second)
-		words := 0
-		for began := time.Now(); time.Since(began) < seconds*time.Second; words++ {
-			require.True(t, a.Rest(context.Background()))
+		pacer, r := role.NewEntryPacer(entries)
+		go toggleModel(r, seconds*time.Second)
+		updates := 0
+		for start := time.Now(); time.Since(start) < seconds*time.Second; updates++ {
+			require.True(t, pacer.AwaitDue(context.Background()))
 		}
-		// Ten gathered words a second, and three beats.
-		require.LessOrEqual(t, words, 14*seconds)
+		// Ten batched updates a second, and three of the update interval.
+		require.LessOrEqual(t, updates, 14*seconds)
 	})
 }
 
-// changeOften loads and drops a model at an engine, which no caller waits for.
-func changeOften(r *roster.Roster, during time.Duration) {
-	for began := time.Now(); time.Since(began) < during; {
+// toggleModel loads and unloads a model at an engine that no caller waits for.
+func toggleModel(r *roster.Roster, during time.Duration) {
+	for start := time.Now(); time.Since(start) < during; {
 		r.SetModels("i-1", []*schema.HeldModel{{Name: "other"}})
 		time.Sleep(3 * time.Millisecond)
 		r.SetModels("i-1", nil)
@@ -43,15 +43,15 @@
 	}
 }
 
-// Callers of one entry wait for a model while many other changes go on. The entry
-// is told of the engine that brings it within milliseconds, not with the next
-// gathered word: each of these callers would wait a tenth of a second longer.
-func TestEntryWhoseCallersWaitIsToldAtOnce(t *testing.T) {
+// Callers of one entry wait for a model while many other changes occur. The entry must be
+// updated within milliseconds of the engine loading it, not with the next batch: each
+// caller would wait a tenth of a second longer.
+func TestEntryWithWaitingCallersIsUpdatedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, r := role.NewAttending(68)
-		a.Wait(&schema.ModelDemand{Pool: "llm", Model: "rare", Waiting: 1})
-		require.True(t, a.Rest(context.Background())) // the answer: when it will be there
-		began := time.Now()
+		pacer, r := role.NewEntryPacer(68)
+		pacer.SetDemand(&schema.ModelDemand{Pool: "llm", Model: "rare", Waiting: 1})
+		require.True(t, pacer.AwaitDue(context.Background())) // the forecast of the load
+		start := time.Now()
 		go func() {
 			for range 3 {
 				r.SetModels("i-1", []*schema.HeldModel{{Name: "other"}})
@@ -61,15 +61,15 @@
 			}
 			r.SetModels("i-1", []*schema.HeldModel{{Name: "rare"}})
 		}()
-		require.True(t, a.Rest(context.Background()))
-		require.Equal(t, 18*time.Millisecond, time.Since(began))
+		require.True(t, pacer.AwaitDue(context.Background()))
+		require.Equal(t, 18*time.Millisecond, time.Since(start))
 	})
 }
 
-// An entry attends a leader whose log is still empty, as when a deployment starts for
-// the first time. The leader's process ended there, and was back a second later.
+// An entry subscribes to a leader whose log is still empty, as at the first start of a
+// deployment. The leader's process crashed and was back a second later.
 func TestChangesOfAnEmptyLedger(t *testing.T) {
-	data, revision := role.ChangesSince(ledger.New(), 0)
+	data, revision := role.EncodedChangesSince(ledger.New(), 0)
 	require.Zero(t, revision)
 	c := &schema.Changes{}
 	require.NoError(t, proto.Unmarshal(data, c))
--- a/internal/role/backends_test.go
+++ b/internal/role/backends_test.go
@@ -23,35 +23,35 @@
 
 const (
 	backendPort = 80
-	// backendRun is how long a backend server runs a request, and backendDown how long
-	// one that has ended is down.
-	backendRun  = 20 * time.Millisecond
-	backendDown = 3 * time.Second
-	// announceEvery is the time between a server's announcements.
-	announceEvery = time.Second
-	// harmful is the body of a request under which a server ends.
-	harmful = "harmful"
+	// backendRequestTime is how long a backend server runs a request, and
+	// backendRestartDelay how long a server that ended stays down.
+	backendRequestTime  = 20 * time.Millisecond
+	backendRestartDelay = 3 * time.Second
+	// announceInterval is the time between two announcements of a server.
+	announceInterval = time.Second
+	// harmfulBody is the body of a request that crashes its server.
+	harmfulBody = "harmful"
 )
 
-// backends are the backend servers of a site's only pool, and what reaches them. A server
-// ends that begins to run a request with the harmful body, and is back after backendDown
-// under another id.
+// backends are the backend servers of a deployment's only pool. A server that starts to run
+// a request with the harmful body crashes, and restarts after backendRestartDelay under
+// another ID.
 type backends struct {
-	s    *site
-	stop chan struct{}
-	wg   sync.WaitGroup
+	deployment *deployment
+	stop       chan struct{}
+	wg         sync.WaitGroup
 
 	mu sync.Mutex
-	// starts is how many incarnations there were; guarded by mu, as all below.
-	starts int
-	// processes are those that live.
+	// startCount is the number of incarnations so far; guarded by mu, as all below.
+	startCount int
+	// processes are the running ones.
 	processes map[*backendProcess]bool
-	// reached is when the harmful request reached a server, and ended when a server ended
-	// under it.
-	reached, ended []time.Time
+	// arrivals are the times at which the harmful request reached a server, and crashes
+	// those at which it crashed one.
+	arrivals, crashes []time.Time
 }
 
-// backendCodec speaks to the stand-ins.
+// backendCodec is the codec of the simulated servers.
 func backendCodec() gateway.Codec {
 	return gateway.Codec{
 		ParseRequest:     func(r *http.Request) gateway.RequestInfo { return gateway.RequestInfo{ID: r.Header.Get("X-Id")} },
@@ -65,15 +65,15 @@
 
 // startBackends starts servers, and puts a configuration in force with a route for requests
 // that may be repeated and one for those that may not.
-func startBackends(s *site, n int) *backends {
-	b := &backends{s: s, stop: make(chan struct{}), processes: map[*backendProcess]bool{}}
+func startBackends(d *deployment, n int) *backends {
+	b := &backends{deployment: d, stop: make(chan struct{}), processes: map[*backendProcess]bool{}}
 	route := func(name string, repeat schema.Repeat) *schema.Route {
 		return &schema.Route{
 			Name: name, Host: "h.example", Prefix: "/" + name + "/", Repeat: repeat, TimeoutMs: 3000, AimMs: 300, MaxAttempts: 2,
 			Shares: []*schema.Share{{Pool: "app", Weight: 1}},
 		}
 	}
-	require.NoError(s.t, s.control[s.leader()].PutConfiguration(context.Background(), &schema.PutConfiguration{
+	require.NoError(d.t, d.control[d.leader()].PutConfiguration(context.Background(), &schema.PutConfiguration{
 		Configuration: &schema.Configuration{Version: 2}, Pools: []*schema.Pool{{Name: "app"}},
 		Routes: []*schema.Route{route("once", schema.Repeat_REPEAT_NEVER), route("again", schema.Repeat_REPEAT_WHOLE)},
 	}))
@@ -81,11 +81,11 @@
 		b.wg.Add(1)
 		go func() {
 			defer b.wg.Done()
-			b.live(fmt.Sprintf("10.0.2.%d:%d", i+1, backendPort))
+			b.restartLoop(fmt.Sprintf("10.0.2.%d:%d", i+1, backendPort))
 		}()
 	}
-	s.await(5*time.Second, "the servers", func() bool {
-		for _, e := range s.entries {
+	d.await(5*time.Second, "the servers", func() bool {
+		for _, e := range d.entries {
 			if e.ReadyServers() != n {
 				return false
 			}
@@ -95,51 +95,51 @@
 	return b
 }
 
-// close ends all servers.
+// close stops all servers.
 func (b *backends) close() {
 	close(b.stop)
 	b.wg.Wait()
 }
 
-// live runs one server after the other at an address.
-func (b *backends) live(address string) {
+// restartLoop runs one server after the other at an address.
+func (b *backends) restartLoop(address string) {
 	for {
 		b.mu.Lock()
-		b.starts++
-		id := fmt.Sprint("i-", b.starts)
+		b.startCount++
+		id := fmt.Sprint("i-", b.startCount)
 		b.mu.Unlock()
 		b.run(id, address)
 		select {
 		case <-b.stop:
 			return
-		case <-time.After(backendDown):
+		case <-time.After(backendRestartDelay):
 		}
 	}
 }
 
-// run is one server's life.
+// run runs one server until it ends.
 func (b *backends) run(id, address string) {
-	l, err := b.s.network.Listen("tcp", address)
+	listener, err := b.deployment.network.Listen("tcp", address)
 	if err != nil {
 		return
 	}
-	p := &backendProcess{b: b, id: id, l: l, ended: make(chan struct{})}
-	b.hold(p, true)
-	defer b.hold(p, false)
+	p := &backendProcess{backends: b, id: id, listener: listener, stopped: make(chan struct{})}
+	b.track(p, true)
+	defer b.track(p, false)
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
 		p.accept()
 	}()
-	for sequence, tick := uint64(1), time.NewTicker(announceEvery); ; sequence++ {
+	for sequence, tick := uint64(1), time.NewTicker(announceInterval); ; sequence++ {
 		b.announce(roster.Announcement{ID: id, Pool: "app", Address: address, Slots: 64, Sequence: sequence})
 		select {
 		case <-tick.C:
 			continue
-		case <-p.ended:
+		case <-p.stopped:
 		case <-b.stop:
-			p.end()
+			p.stop()
 		}
 		tick.Stop()
 		wg.Wait()
@@ -147,18 +147,18 @@
 	}
 }
 
-func (b *backends) hold(p *backendProcess, lives bool) {
+func (b *backends) track(p *backendProcess, running bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if lives {
+	if running {
 		b.processes[p] = true
 	} else {
 		delete(b.processes, p)
 	}
 }
 
-// endSome ends some servers at once, whatever they run.
-func (b *backends) endSome(n int) {
+// stopSome stops several servers at once, whatever they run.
+func (b *backends) stopSome(n int) {
 	b.mu.Lock()
 	var some []*backendProcess
 	for p := range b.processes {
@@ -168,49 +168,49 @@
 	}
 	b.mu.Unlock()
 	for _, p := range some {
-		p.end()
+		p.stop()
 	}
 }
 
-// announce tells any control host that takes it.
+// announce sends an announcement to any control host that accepts it.
 func (b *backends) announce(a roster.Announcement) {
-	b.s.controlMu.Lock()
-	hosts := make([]announced, 0, len(b.s.control))
-	for _, c := range b.s.control {
-		hosts = append(hosts, c)
+	b.deployment.controlMu.Lock()
+	hosts := make([]announcer, 0, len(b.deployment.control))
+	for _, host := range b.deployment.control {
+		hosts = append(hosts, host)
 	}
-	b.s.controlMu.Unlock()
-	for _, c := range hosts {
-		if c.Announce(context.Background(), a) == nil {
+	b.deployment.controlMu.Unlock()
+	for _, host := range hosts {
+		if host.Announce(context.Background(), a) == nil {
 			return
 		}
 	}
 }
 
-// announced takes servers' announcements.
-type announced interface {
+// announcer accepts servers' announcements.
+type announcer interface {
 	Announce(ctx context.Context, a roster.Announcement) error
 }
 
 // backendProcess is one server's process.
 type backendProcess struct {
-	b     *backends
-	id    string
-	l     net.Listener
-	once  sync.Once
-	ended chan struct{}
+	backends *backends
+	id       string
+	listener net.Listener
+	once     sync.Once
+	stopped  chan struct{}
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-// end closes everything that the process has open.
-func (p *backendProcess) end() {
+// stop closes everything that the process has open.
+func (p *backendProcess) stop() {
 	p.once.Do(func() {
-		_ = p.l.Close()
+		_ = p.listener.Close()
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		close(p.ended)
+		close(p.stopped)
 		for _, conn := range p.conns {
 			_ = conn.Close()
 		}
@@ -221,7 +221,7 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for {
-		conn, err := p.l.Accept()
+		conn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -238,83 +238,84 @@
 }
 
 func (p *backendProcess) serve(conn net.Conn) {
-	q, err := http.ReadRequest(bufio.NewReader(conn))
+	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		return
 	}
-	body, err := io.ReadAll(q.Body)
+	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return
 	}
-	p.b.note(string(body), &p.b.reached)
+	p.backends.recordHarmful(string(body), &p.backends.arrivals)
 	select {
-	case <-p.ended:
+	case <-p.stopped:
 		return
-	case <-time.After(backendRun):
+	case <-time.After(backendRequestTime):
 	}
-	if string(body) == harmful {
-		p.b.note(harmful, &p.b.ended)
-		p.end()
+	if string(body) == harmfulBody {
+		p.backends.recordHarmful(harmfulBody, &p.backends.crashes)
+		p.stop()
 		return
 	}
-	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: 2\r\n\r\nok", q.Header.Get("X-Id"))
+	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: 2\r\n\r\nok", request.Header.Get("X-Id"))
 }
 
-// note remembers when something happened to the harmful request.
-func (b *backends) note(body string, what *[]time.Time) {
-	if body != harmful {
+// recordHarmful appends the current time to times if the body is the harmful one.
+func (b *backends) recordHarmful(body string, times *[]time.Time) {
+	if body != harmfulBody {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	*what = append(*what, time.Now())
+	*times = append(*times, time.Now())
 }
 
-// endedUnder returns how many servers have ended under the harmful request.
-func (b *backends) endedUnder() int {
+// crashCount returns how many servers the harmful request crashed.
+func (b *backends) crashCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.ended)
+	return len(b.crashes)
 }
 
-// sentAfter returns how often the harmful request reached a server later than some time
-// after it had ended the third.
-func (b *backends) sentAfter(late time.Duration) int {
+// lateArrivals returns how often the harmful request reached a server later than some time
+// after its third crash.
+func (b *backends) lateArrivals(delay time.Duration) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.ended) < 3 {
+	if len(b.crashes) < 3 {
 		return 0
 	}
-	third := slices.SortedFunc(slices.Values(b.ended), time.Time.Compare)[2]
+	third := slices.SortedFunc(slices.Values(b.crashes), time.Time.Compare)[2]
 	n := 0
-	for _, at := range b.reached {
-		if at.Sub(third) > late {
+	for _, at := range b.arrivals {
+		if at.Sub(third) > delay {
 			n++
 		}
 	}
 	return n
 }
 
-// reply is what a caller gets.
-type reply struct {
-	// status is 0 for an answer that breaks off.
+// callResult is the response that a caller receives.
+type callResult struct {
+	// status is 0 for a response that was cut off.
 	status int
-	// after is when the caller is asked to come back, in seconds; 0: it is not.
-	after float64
+	// retryAfterSeconds is the value of Retry-After, 0 if there is none.
+	retryAfterSeconds float64
 }
 
-// call sends a request to an entry. Others than the site's goroutine may call as well.
-func (s *site) call(ip, path, body string) (out reply) {
-	e := s.entries[ip]
-	q := httptest.NewRequest(http.MethodPost, "http://h.example"+path, strings.NewReader(body))
-	q.Header.Set("X-Id", strconv.FormatInt(s.calls.Add(1), 10))
+// call sends a request to an entry. It may be called from other goroutines than the
+// deployment's.
+func (d *deployment) call(ip, path, body string) (result callResult) {
+	entry := d.entries[ip]
+	request := httptest.NewRequest(http.MethodPost, "http://h.example"+path, strings.NewReader(body))
+	request.Header.Set("X-Id", strconv.FormatInt(d.lastCallID.Add(1), 10))
 	defer func() {
 		if recover() != nil {
-			out = reply{}
+			result = callResult{}
 		}
 	}()
-	w := httptest.NewRecorder()
-	e.Callers().ServeHTTP(w, q)
-	after, _ := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
-	return reply{w.Code, after}
+	recorder := httptest.NewRecorder()
+	entry.CallerHandler().ServeHTTP(recorder, request)
+	retryAfter, _ := strconv.ParseFloat(recorder.Header().Get("Retry-After"), 64)
+	return callResult{recorder.Code, retryAfter}
 }
--- a/internal/role/changes.go
+++ b/internal/role/changes.go
@@ -8,40 +8,39 @@
 	"fennelyard/internal/ledger"
 )
 
-// encodedChanges holds what entries lack, encoded, for the present revision. A
-// configuration of 1,500 routes is 200 KB: encoded for each of 68 entries it kept the
-// leader busy for longer than an election takes, and callers were without a
-// configuration for three seconds after the hosts had lost power. The zero value is
-// ready for use.
-type encodedChanges struct {
+// changesCache caches the encoded changes that entries are missing at the current revision.
+// A configuration of 1,500 routes takes 200 KB: encoding it for each of 68 entries kept the
+// leader busy for longer than an election takes, and after all hosts had lost power callers
+// were without a configuration for 3 s. The zero value is ready to use.
+type changesCache struct {
 	mu sync.Mutex
-	// revision is the ledger's, and after holds the words that lead to it, by the
-	// revision from which they do; guarded by mu.
+	// revision is the ledger's revision, and encoded contains the changes that lead to it,
+	// by the revision they start from; both guarded by mu.
 	revision uint64
-	after    map[uint64][]byte
+	encoded  map[uint64][]byte
 }
 
-// since returns what an entry at a revision lacks, nil where nothing concerns it, and
-// the revision that it has then.
-func (e *encodedChanges) since(l *ledger.Ledger, after uint64) ([]byte, uint64) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	var present uint64
-	l.View(func(h ledger.Status, _ *ledger.Records) { present = h.Index })
-	if e.after == nil || present != e.revision {
-		e.revision, e.after = present, map[uint64][]byte{}
+// since returns the encoded changes after a revision, nil if none concern entries, and the
+// revision they lead to.
+func (c *changesCache) since(l *ledger.Ledger, after uint64) ([]byte, uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var current uint64
+	l.View(func(h ledger.Status, _ *ledger.Records) { current = h.Index })
+	if c.encoded == nil || current != c.revision {
+		c.revision, c.encoded = current, map[uint64][]byte{}
 	}
-	if data, known := e.after[after]; known {
-		return data, present
+	if data, known := c.encoded[after]; known {
+		return data, current
 	}
-	c := forEntries(l.Since(after))
+	changes := entryChanges(l.Since(after))
 	var data []byte
-	if after == 0 || len(c.GetRecords()) > 0 || c.GetWhole() {
+	if after == 0 || len(changes.GetRecords()) > 0 || changes.GetWhole() {
 		// Marshal does not fail on a message that was decoded or built here.
-		data, _ = proto.Marshal(c)
+		data, _ = proto.Marshal(changes)
 	}
-	if c.GetRevision() == present {
-		e.after[after] = data
+	if changes.GetRevision() == current {
+		c.encoded[after] = data
 	}
-	return data, c.GetRevision()
+	return data, changes.GetRevision()
 }
--- a/internal/role/control.go
+++ b/internal/role/control.go
@@ -28,89 +28,87 @@
 )
 
 const (
-	// groupID is the id of the one control group that runs today.
+	// groupID is the ID of the only control group.
 	groupID = 1
-	// heartbeat and election time the group: a leader that is lost is replaced
-	// within a second, and a host of a quarter of a core spends a few hundredths
-	// of it on heartbeats.
-	heartbeat = 100 * time.Millisecond
-	election  = 600 * time.Millisecond
-	// silentTicks is after how many heartbeats without an answer a voter gives
-	// its place to a host that waits for one.
-	silentTicks = 25
-	// snapshotAfter keeps the log short: each entry may be a configuration of
-	// some hundred KB, and the disk has 128 MB.
-	snapshotAfter = 64
-	// diskReserveShare of the disk is left free for elections and snapshots.
-	diskReserveShare = 8
-	sweepEvery       = 200 * time.Millisecond
+	// With heartbeatInterval and electionTimeout a lost leader is replaced within 1 s, and
+	// a host with a quarter of a core spends a few hundredths of it on heartbeats.
+	heartbeatInterval = 100 * time.Millisecond
+	electionTimeout   = 600 * time.Millisecond
+	// silentHeartbeats is the number of unanswered heartbeats after which a voter is
+	// replaced by a host that is waiting to join.
+	silentHeartbeats = 25
+	// snapshotAfterEntries keeps the log short: each log entry may be a configuration of
+	// several hundred KB, and the disk has 128 MB.
+	snapshotAfterEntries = 64
+	// 1/diskReserveDivisor of the disk is reserved for elections and snapshots.
+	diskReserveDivisor = 8
+	sweepInterval      = 200 * time.Millisecond
 )
 
-// ControlConfig configures a Control. All fields are required unless they say
-// otherwise.
+// ControlConfig configures a Control. All fields are required unless noted otherwise.
 type ControlConfig struct {
 	Settings *Settings
 	Engines  loading.Engines
-	// Handler makes the handler of operators' and backend servers' calls.
+	// Handler returns the HTTP handler for operators and backend servers.
 	Handler func(*Control) http.Handler
 	Metrics *metrics.Set
 	Log     logr.Logger
-	// Network is how the host reaches others and is reached; the zero value: over TCP.
+	// Network connects the host to others; the zero value uses TCP.
 	Network Network
-	// BeforeWrite, where set, is called before each write to the disk, which is as slow as
-	// it.
+	// BeforeWrite, if set, is called before each write to the disk and delays it for as
+	// long as it runs.
 	BeforeWrite func()
-	// Random returns a number from 0 to below n; it spreads elections. nil: by chance.
+	// Random returns a random number in [0, n) that spreads elections; nil uses math/rand.
 	Random func(n int) int
 }
 
-// Control is a control host. All methods are safe from any goroutine.
+// Control is a control host. All methods are safe for concurrent use.
 type Control struct {
 	cfg     ControlConfig
 	self    *schema.HostSettings
 	storage *consensus.Storage
 	dialer  *peer.Dialer
-	// news connects to the leader that this host follows, and orders to holders of orders
-	// and to the leader for theirs: connections that have fallen silent are renewed, and
-	// elections must not lose theirs for it.
-	news, orders *peer.Dialer
-	group        *control.Group
-	// roster is what this host believes while it leads, and mirror what the leader says;
-	// entries are those that attend this host, and heard the servers that announce
-	// themselves here.
-	roster  *roster.Roster
-	mirror  *roster.Mirror
-	heard   *roster.AnnouncementForwarder
-	entries *subscription.Registry
-	// book is what is known of requests that end their servers.
-	book *quarantine.SuspectSet
-	// recalled is the last term in which the recorded ones were taken in.
-	recalled atomic.Uint64
-	// quotas are what the entries of all control hosts admitted of the teams' quotas, while
-	// this host leads.
+	// leaderDialer connects to the leader that this host follows, and orderDialer to order
+	// holders and to the leader for the orders of this host. Both reset silent connections,
+	// which must not close the connections of elections.
+	leaderDialer, orderDialer *peer.Dialer
+	group                     *control.Group
+	// roster is the state of backend servers and hosts while this host leads, and mirror
+	// the state received from the leader. subscribers are the entries subscribed to this
+	// host, and announcements those of servers that announced themselves here.
+	roster        *roster.Roster
+	mirror        *roster.Mirror
+	announcements *roster.AnnouncementForwarder
+	subscribers   *subscription.Registry
+	// suspects are the requests known to have crashed their servers.
+	suspects *quarantine.SuspectSet
+	// restoredTerm is the last term in which the recorded suspects were restored.
+	restoredTerm atomic.Uint64
+	// quotas are the uses of teams' quotas that entries of all control hosts reported,
+	// while this host leads.
 	quotas *quota.Totals
-	// began is the origin of the clock that is sent to the leader.
-	began   time.Time
-	lag     lag
-	driver  *loading.Driver
-	hand    *loading.Sender
-	server  *peer.Server
-	http    *http.Server
-	streams atomic.Uint64
-	changes encodedChanges
-	// refusals bound the log.
-	refusals refusals
-	// withheld are acknowledgements of configurations that entries lack.
-	withheld withheld
-	stop     chan struct{}
-	done     chan struct{}
-	once     sync.Once
-	wg       sync.WaitGroup
+	// startedAt is the origin of the clock that is sent to the leader.
+	startedAt      time.Time
+	logLag         lagDetector
+	driver         *loading.Driver
+	orderSender    *loading.Sender
+	peerServer     *peer.Server
+	operatorServer *http.Server
+	lastStream     atomic.Uint64
+	changesCache   changesCache
+	// refusalLog limits the log lines of refusals.
+	refusalLog refusalLogLimiter
+	// ackGate withholds acknowledgements of configurations that entries are missing.
+	ackGate ackGate
+	stop    chan struct{}
+	done    chan struct{}
+	once    sync.Once
+	wg      sync.WaitGroup
 }
 
-// NewControl starts a control host. When it fails nothing is left running.
+// NewControl starts a control host. If it fails, nothing is left running.
 func NewControl(cfg ControlConfig) (*Control, error) {
-	cfg.Network.fill()
+	cfg.Network.setDefaults()
 	if cfg.Random == nil {
 		cfg.Random = rand.IntN
 	}
@@ -118,20 +116,20 @@
 	address := settings.PeerAddress(s.GetIp(), s)
 	c := &Control{
 		cfg: cfg, dialer: peer.NewDialer(peer.DialerConfig{Dial: cfg.Network.Dial}),
-		news:   peer.NewDialer(peer.DialerConfig{Dial: cfg.Network.Dial}),
-		orders: peer.NewDialer(peer.DialerConfig{Dial: cfg.Network.Dial}), stop: make(chan struct{}), done: make(chan struct{}),
-		began: time.Now(),
-		self:  &schema.HostSettings{Name: address, PeerAddress: address, DataCentre: s.GetDataCentre(), Control: true},
+		leaderDialer: peer.NewDialer(peer.DialerConfig{Dial: cfg.Network.Dial}),
+		orderDialer:  peer.NewDialer(peer.DialerConfig{Dial: cfg.Network.Dial}), stop: make(chan struct{}), done: make(chan struct{}),
+		startedAt: time.Now(),
+		self:      &schema.HostSettings{Name: address, PeerAddress: address, DataCentre: s.GetDataCentre(), Control: true},
 	}
 	c.roster = roster.New(roster.Config{
 		Self: address, AnnounceEvery: s.GetAnnounceEvery().AsDuration(), Departed: c.departed, Now: time.Now, Log: cfg.Log.WithName("roster"),
 	})
 	c.mirror = roster.NewMirror(roster.MirrorConfig{Now: time.Now})
-	c.heard = roster.NewAnnouncementForwarder(time.Now)
-	c.book = quarantine.NewSuspectSet(quarantine.SuspectSetConfig{Now: time.Now, Log: cfg.Log.WithName("quarantine")})
+	c.announcements = roster.NewAnnouncementForwarder(time.Now)
+	c.suspects = quarantine.NewSuspectSet(quarantine.SuspectSetConfig{Now: time.Now, Log: cfg.Log.WithName("quarantine")})
 	quotaWindow := s.GetQuotaWindow().AsDuration()
 	c.quotas = quota.NewTotals(quotaWindow)
-	c.entries = subscription.New(subscription.Config{Now: time.Now, QuotaWindow: quotaWindow, Log: cfg.Log.WithName("attendance")})
+	c.subscribers = subscription.New(subscription.Config{Now: time.Now, QuotaWindow: quotaWindow, Log: cfg.Log.WithName("attendance")})
 	if err := c.start(s); err != nil {
 		c.Close()
 		return nil, err
@@ -155,39 +153,39 @@
 		return err
 	}
 	c.startOrders(s)
-	c.gauges()
+	c.registerGauges()
 	handlers := c.group.Handlers()
-	handlers.Attend, handlers.Follow, handlers.GiveOrder = c.attend, c.lead, c.giveOrder
-	c.server = peer.NewServer(peer.ServerConfig{Listener: peers, Handlers: handlers})
-	c.http = newServer(c.operatorHandler())
+	handlers.Attend, handlers.Follow, handlers.GiveOrder = c.serveEntry, c.serveHost, c.handleOrder
+	c.peerServer = peer.NewServer(peer.ServerConfig{Listener: peers, Handlers: handlers})
+	c.operatorServer = newServer(c.operatorHandler())
 	c.wg.Add(7)
 	go func() {
 		defer c.wg.Done()
-		c.whileLeading(quotasLogged, c.logQuotas)
+		c.runWhileLeading(quotaLogInterval, c.logQuotas)
 	}()
 	go func() {
 		defer c.wg.Done()
-		c.whileLeading(rememberEvery, c.remember)
+		c.runWhileLeading(recordInterval, c.recordServers)
 	}()
 	go func() {
 		defer c.wg.Done()
-		c.whileLeading(rememberEvery, c.rememberSuspects)
+		c.runWhileLeading(recordInterval, c.recordSuspects)
 	}()
 	go func() {
 		defer c.wg.Done()
-		c.follow()
+		c.followLeaders()
 	}()
 	go func() {
 		defer c.wg.Done()
-		c.every(sweepEvery, c.sweepFollowing)
+		c.runEvery(sweepInterval, c.sweepSubscribers)
 	}()
 	go func() {
 		defer c.wg.Done()
-		serve(c.http, operators, c.cfg.Log)
+		serve(c.operatorServer, operators, c.cfg.Log)
 	}()
 	go func() {
 		defer c.wg.Done()
-		c.whileLeading(sweepEvery, c.sweep)
+		c.runWhileLeading(sweepInterval, c.sweepRoster)
 	}()
 	return nil
 }
@@ -196,7 +194,7 @@
 	var err error
 	c.storage, err = consensus.OpenStorage(consensus.StorageConfig{
 		Folder: filepath.Join(s.GetDataFolder(), "control"), Group: groupID, NewID: consensus.RandomID,
-		FreeBytes: consensus.FreeBytes, Reserve: uint64(s.GetDiskMb()) << 20 / diskReserveShare,
+		FreeBytes: consensus.FreeBytes, Reserve: uint64(s.GetDiskMb()) << 20 / diskReserveDivisor,
 		BeforeWrite: c.cfg.BeforeWrite,
 	})
 	if err != nil {
@@ -204,8 +202,8 @@
 	}
 	c.group, err = control.NewGroup(control.Config{
 		Group: groupID, Self: c.self, Seeds: c.cfg.Settings.Seeds, Bootstrap: s.GetFounding(),
-		Storage: c.storage, Dialer: c.dialer, QueryDialer: c.orders, Heartbeat: heartbeat, Election: election,
-		SnapshotAfter: snapshotAfter, SilentTicks: silentTicks, Random: c.cfg.Random, Log: c.cfg.Log.WithName("group"),
+		Storage: c.storage, Dialer: c.dialer, QueryDialer: c.orderDialer, Heartbeat: heartbeatInterval, Election: electionTimeout,
+		SnapshotAfter: snapshotAfterEntries, SilentTicks: silentHeartbeats, Random: c.cfg.Random, Log: c.cfg.Log.WithName("group"),
 	})
 	if err != nil {
 		return errors.Newf("start control member: %w", err)
@@ -213,26 +211,26 @@
 	return nil
 }
 
-// gauges tell how many voters the group has and how many more losses it bears: both
-// fall long before the group stops.
-func (c *Control) gauges() {
+// registerGauges registers gauges, among them the number of voters and of silent voters:
+// they show the loss of voters long before the group stops.
+func (c *Control) registerGauges() {
 	c.cfg.Metrics.Gauge("control_voters", "Voters of the control group, as this host knows it.", func() float64 {
-		return float64(len(c.voters()))
+		return float64(len(c.voterAddresses()))
 	})
 	c.cfg.Metrics.Gauge("control_voters_silent", "Voters that this leader has not heard for a second or more; 0 on other hosts.", func() float64 {
 		return float64(len(c.group.Status().SilentVoters))
 	})
 	c.cfg.Metrics.Gauge("control_entries_attending", "Entries that this control host tells what the leader says.", func() float64 {
-		return float64(c.entries.Count())
+		return float64(c.subscribers.Count())
 	})
 	c.cfg.Metrics.Gauge("control_leader_age_seconds", "Time since this control host heard the leader; below 0: never.", func() float64 {
 		return float64(c.leaderAge()) / float64(time.Second/time.Millisecond)
 	})
 	c.cfg.Metrics.Gauge("control_requests_held_back", "Requests that end their servers, and that entries hold back.", func() float64 {
-		return float64(c.book.HeldBackCount())
+		return float64(c.suspects.HeldBackCount())
 	})
 	c.cfg.Metrics.Gauge("control_log_lags", "1 while this control host's log lags so much that it tells entries nothing.", func() float64 {
-		if c.lags() {
+		if c.logLags() {
 			return 1
 		}
 		return 0
@@ -245,19 +243,19 @@
 	return out
 }
 
-// whileLeading calls a function every so often, whenever this host leads, until it
+// runWhileLeading calls a function at an interval, whenever this host leads, until the host
 // stops.
-func (c *Control) whileLeading(every time.Duration, f func()) {
-	c.every(every, func() {
+func (c *Control) runWhileLeading(interval time.Duration, f func()) {
+	c.runEvery(interval, func() {
 		if c.group.Status().CommittedInTerm {
 			f()
 		}
 	})
 }
 
-// every calls a function every so often until the host stops.
-func (c *Control) every(every time.Duration, f func()) {
-	ticker := time.NewTicker(every)
+// runEvery calls a function at an interval until the host stops.
+func (c *Control) runEvery(interval time.Duration, f func()) {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -269,26 +267,26 @@
 	}
 }
 
-// sweep leaves out what the leader no longer hears.
-func (c *Control) sweep() {
+// sweepRoster expires the servers and hosts that are silent to the leader.
+func (c *Control) sweepRoster() {
 	c.roster.Sweep()
 	c.roster.SweepHosts()
 }
 
-// sweepFollowing leaves out the entries that this host no longer hears.
-func (c *Control) sweepFollowing() {
-	c.entries.Sweep()
+// sweepSubscribers expires the entries that are silent to this host.
+func (c *Control) sweepSubscribers() {
+	c.subscribers.Sweep()
 	c.mirror.Sweep()
 }
 
-// Failed is closed when the control member ended by itself; Err tells why. The
-// process must then end: what its disk holds is no longer known.
+// Failed is closed when the control member failed; Err returns the cause. The process must
+// then exit: the state on its disk is unknown.
 func (c *Control) Failed() <-chan struct{} { return c.group.Done() }
 
-// Err tells why the control member ended.
+// Err returns the error that ended the control member.
 func (c *Control) Err() error { return c.group.Err() }
 
-// Drain hands leadership over and stops the host.
+// Drain stops the host, which transfers leadership.
 func (c *Control) Drain(context.Context) { c.Close() }
 
 // Close stops the host at once.
@@ -302,16 +300,16 @@
 		if c.driver != nil {
 			c.driver.Stop()
 		}
-		if c.http != nil {
-			_ = c.http.Close()
+		if c.operatorServer != nil {
+			_ = c.operatorServer.Close()
 		}
-		if c.server != nil {
-			c.server.Stop()
+		if c.peerServer != nil {
+			c.peerServer.Stop()
 		}
 		c.wg.Wait()
 		c.dialer.Close()
-		c.news.Close()
-		c.orders.Close()
+		c.leaderDialer.Close()
+		c.orderDialer.Close()
 		if c.storage != nil {
 			if err := c.storage.Close(); err != nil {
 				c.cfg.Log.Error(err, "state not closed")
--- a/internal/role/control_test.go
+++ b/internal/role/control_test.go
@@ -54,11 +54,10 @@
 	return c
 }
 
-// A server says that it leaves, and goes away before the group has recorded it.
-// The record is committed all the same. The server says it again and is
-// acknowledged: requests must not be sent there any more, although the record is
-// not new.
-func TestSecondWordOfALeavingServerTakesItOut(t *testing.T) {
+// A server sends its departure and gives up before the group has committed it. The record
+// is committed all the same. The server repeats the call and receives an acknowledgement:
+// no more requests may be sent to it, although the record is not new.
+func TestRepeatedDepartureRemovesTheServer(t *testing.T) {
 	c := newControl(t)
 	ready := roster.Announcement{ID: "i-1", Pool: "app", Address: "127.0.0.1:1", Slots: 1, Sequence: 1}
 	require.NoError(t, c.Announce(context.Background(), ready))
@@ -69,10 +68,10 @@
 	require.False(t, c.Ready("i-1"))
 }
 
-// Somebody else's word says that a server leaves. It has the server's id and not its
-// start. Taken for the server's own it would be recorded under the id, and every entry
-// would give up a server that lives.
-func TestWordWithoutAStartTakesNoServerOut(t *testing.T) {
+// A foreign message reports that a server departs. It has the server's ID but not its
+// incarnation. If it counted as the server's own, the departure would be recorded under the
+// ID, and every entry would stop using a running server.
+func TestDepartureWithoutIncarnationIsRefused(t *testing.T) {
 	c := newControl(t)
 	own := roster.Announcement{ID: "i-1@1784556072000", Pool: "app", Address: "127.0.0.1:1", Slots: 1, Sequence: 1}
 	require.NoError(t, c.Announce(context.Background(), own))
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -19,56 +19,53 @@
 )
 
 const (
-	// acceptShare is the part of the stop limit in which a stopping entry goes on
-	// taking connections: most callers have a new answer of the directory by then.
-	// What is taken later could still run when the process must end, and would be
-	// cut off; a caller that finds the port closed goes to another entry at once.
-	acceptShare = 0.35
-	// sendShare is the part of the stop limit until which a request that waits for
-	// its model is sent on: most answers take less than the quarter that is left.
-	sendShare = 0.7
-	// endShare is the part of the stop limit at which whatever is in flight gets
-	// its final answer, and closeShare the part at which the process ends: what is
-	// not over by then would be killed a moment later.
-	endShare   = 0.94
-	closeShare = 0.97
-	drainCheck = 50 * time.Millisecond
+	// acceptFraction is the fraction of the stop limit in which a draining entry still
+	// accepts connections: most callers have a new directory response by then. A connection
+	// accepted later could still be in use when the process must exit, and would be cut
+	// off; a caller that finds the port closed connects to another entry at once.
+	acceptFraction = 0.35
+	// sendFraction is the fraction of the stop limit until which a request that waits for
+	// its model is still forwarded: most responses take less than the remaining quarter.
+	sendFraction = 0.7
+	// abortFraction is the fraction of the stop limit after which every request in flight
+	// receives its final response, and closeFraction the one after which the process exits:
+	// what has not ended by then would be killed a moment later.
+	abortFraction     = 0.94
+	closeFraction     = 0.97
+	drainPollInterval = 50 * time.Millisecond
 )
 
-// EntryConfig configures an Entry. All fields are required unless they say
-// otherwise.
+// EntryConfig configures an Entry. All fields are required unless noted otherwise.
 type EntryConfig struct {
 	Settings *Settings
 	Codec    gateway.Codec
-	// Ready and Directory make the handlers of questions whether the entry is
-	// ready and which entries to use.
+	// Ready and Directory return the HTTP handlers for readiness probes and for the
+	// directory of entries.
 	Ready      func(*Entry) http.Handler
 	Directory  func(*Entry) http.Handler
 	Metrics    *metrics.Set
 	Log        logr.Logger
 	RequestLog logr.Logger
-	// Network is how the entry reaches control hosts and is reached; the zero value:
-	// over TCP.
+	// Network connects the entry to control hosts and callers; the zero value uses TCP.
 	Network Network
 }
 
-// Entry takes callers' requests. All methods are safe from any goroutine.
+// Entry serves callers' requests. All methods are safe for concurrent use.
 type Entry struct {
-	cfg     EntryConfig
-	dialer  *peer.Dialer
-	gateway *gateway.Gateway
-	callers *http.Server
-	// callerPort is the callers' listener.
-	callerPort net.Listener
-	servers    []*http.Server
-	done       chan struct{}
-	once       sync.Once
-	wg         sync.WaitGroup
+	cfg            EntryConfig
+	dialer         *peer.Dialer
+	gateway        *gateway.Gateway
+	callerServer   *http.Server
+	callerListener net.Listener
+	servers        []*http.Server
+	done           chan struct{}
+	once           sync.Once
+	wg             sync.WaitGroup
 }
 
-// NewEntry starts an entry. When it fails nothing is left running.
+// NewEntry starts an entry. If it fails, nothing is left running.
 func NewEntry(cfg EntryConfig) (*Entry, error) {
-	cfg.Network.fill()
+	cfg.Network.setDefaults()
 	e := &Entry{cfg: cfg, dialer: peer.NewDialer(peer.DialerConfig{Dial: cfg.Network.Dial}), done: make(chan struct{})}
 	s := cfg.Settings.Get()
 	e.gateway = gateway.New(gateway.Config{
@@ -89,7 +86,7 @@
 			cfg.Metrics.TeamRequest(x.Team, x.Outcome.String())
 		},
 	})
-	e.gauges()
+	e.registerGauges()
 	if err := e.listen(s); err != nil {
 		e.Close()
 		return nil, err
@@ -97,7 +94,7 @@
 	return e, nil
 }
 
-func (e *Entry) gauges() {
+func (e *Entry) registerGauges() {
 	for _, x := range []struct {
 		name, help string
 		read       func(gateway.State) float64
@@ -136,7 +133,7 @@
 		server := newServer(x.handler)
 		e.servers = append(e.servers, server)
 		if x.callers {
-			e.callers, e.callerPort = server, l
+			e.callerServer, e.callerListener = server, l
 		}
 		e.wg.Add(1)
 		go func() {
@@ -147,61 +144,63 @@
 	return nil
 }
 
-// Ready reports whether callers may be sent here.
+// Ready reports whether callers may be sent to this entry.
 func (e *Entry) Ready() bool { return e.gateway.Ready() }
 
-// Addresses returns the entries that a caller in a data centre may use, and how
-// long it may keep the answer.
+// Addresses returns the addresses of the entries that callers in a data centre may use, and
+// how long they may cache them.
 func (e *Entry) Addresses(dataCentre string) ([]string, time.Duration) {
 	return e.gateway.Entries(dataCentre), e.cfg.Settings.Get().GetDirectoryKeep().AsDuration()
 }
 
-// Failed never closes: an entry has nothing that fails on its own.
+// Failed returns nil: an entry has no part that can fail on its own.
 func (e *Entry) Failed() <-chan struct{} { return nil }
 
 // Err returns nil.
 func (e *Entry) Err() error { return nil }
 
-// Drain stops the entry without cutting off a request. It leaves the directory
-// and tells the platform that it is not ready, but takes what still comes for as
-// long as callers may keep an old answer. Then it waits for what is in flight.
+// Drain stops the entry without cutting off a request. The entry leaves the directory and
+// reports that it is not ready, but accepts connections for as long as callers may use a
+// cached directory response. Then it waits for the requests in flight.
 func (e *Entry) Drain(ctx context.Context) {
 	limit := e.cfg.Settings.Get().GetStopLimit().AsDuration()
-	began := time.Now()
-	e.gateway.StartDraining(began.Add(portion(limit, sendShare)))
+	start := time.Now()
+	e.gateway.StartDraining(start.Add(fractionOf(limit, sendFraction)))
 	e.cfg.Log.Info("draining", "in-flight", e.gateway.InFlight(), "limit-ms", limit.Milliseconds())
-	// Each answer from now on asks its caller to connect anew elsewhere, and
-	// idle connections are closed.
-	e.callers.SetKeepAlivesEnabled(false)
-	ticker := time.NewTicker(drainCheck)
+	// From now on each response asks its caller to reconnect, which leads to another entry,
+	// and idle connections are closed.
+	e.callerServer.SetKeepAlivesEnabled(false)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for accepts := true; ctx.Err() == nil; {
-		gone := time.Since(began)
-		if accepts && gone > portion(limit, acceptShare) {
-			accepts = false
-			e.refuseCallers()
+	for accepting := true; ctx.Err() == nil; {
+		elapsed := time.Since(start)
+		if accepting && elapsed > fractionOf(limit, acceptFraction) {
+			accepting = false
+			e.closeCallerListener()
 		}
-		if gone > portion(limit, endShare) {
+		if elapsed > fractionOf(limit, abortFraction) {
 			e.gateway.AbortRequests()
 		}
-		if gone > portion(limit, closeShare) || !accepts && e.gateway.InFlight() == 0 {
+		if elapsed > fractionOf(limit, closeFraction) || !accepting && e.gateway.InFlight() == 0 {
 			break
 		}
 		<-ticker.C
 	}
-	e.cfg.Log.Info("drained", "in-flight", e.gateway.InFlight(), "took-ms", time.Since(began).Milliseconds())
+	e.cfg.Log.Info("drained", "in-flight", e.gateway.InFlight(), "took-ms", time.Since(start).Milliseconds())
 	e.Close()
 }
 
-// refuseCallers closes the callers' port; what is in flight goes on.
-func (e *Entry) refuseCallers() {
-	if err := e.callerPort.Close(); err != nil {
+// closeCallerListener closes the listener for callers; requests in flight continue.
+func (e *Entry) closeCallerListener() {
+	if err := e.callerListener.Close(); err != nil {
 		e.cfg.Log.Error(err, "port not closed")
 	}
 	e.cfg.Log.Info("port closed", "in-flight", e.gateway.InFlight())
 }
 
-func portion(d time.Duration, share float64) time.Duration { return time.Duration(float64(d) * share) }
+func fractionOf(d time.Duration, fraction float64) time.Duration {
+	return time.Duration(float64(d) * fraction)
+}
 
 // Close stops the entry at once.
 func (e *Entry) Close() {
--- a/internal/role/export_test.go
+++ b/internal/role/export_test.go
@@ -13,94 +13,97 @@
 	"fennelyard/internal/schema"
 )
 
-// RecordDeparture commits a departure as a call does whose caller is gone by
-// then: the roster is not told.
+// RecordDeparture commits a departure whose caller gave up before the commit: the roster is
+// not updated.
 func (c *Control) RecordDeparture(id string) error {
 	return c.commit(context.Background(), &schema.Command{Body: &schema.Command_DepartServer{
 		DepartServer: &schema.DepartServer{Server: id},
 	}})
 }
 
-// Voters returns the number of voters if this host leads.
+// Voters returns the number of voters, and whether this host leads.
 func (c *Control) Voters() (n int, leads bool) {
-	s := c.group.Status()
-	for _, m := range s.Membership.GetMembers() {
+	status := c.group.Status()
+	for _, m := range status.Membership.GetMembers() {
 		if !m.GetLearner() {
 			n++
 		}
 	}
-	return n, s.CommittedInTerm
+	return n, status.CommittedInTerm
 }
 
-// Votes reports whether this host is a voter, as far as it knows.
-func (c *Control) Votes() bool {
-	s := c.group.Status()
-	for _, m := range s.Membership.GetMembers() {
-		if m.GetId() == s.ID {
+// IsVoter reports whether this host is a voter as far as it knows.
+func (c *Control) IsVoter() bool {
+	status := c.group.Status()
+	for _, m := range status.Membership.GetMembers() {
+		if m.GetId() == status.ID {
 			return !m.GetLearner()
 		}
 	}
 	return false
 }
 
-// Attending is the pace of one entry's stream, where the roster hears engine i-1.
-type Attending struct {
-	p     pace
-	r     *roster.Roster
-	known uint64
+// EntryPacer is the pacer of one entry's stream, with a roster that contains engine i-1.
+type EntryPacer struct {
+	pacer  updatePacer
+	roster *roster.Roster
+	sent   uint64
 }
 
-// NewAttending returns a stream, of as many as entries attend.
-func NewAttending(entries int) (*Attending, *roster.Roster) {
+// NewEntryPacer returns the pacer of a host with the given number of subscribed entries.
+func NewEntryPacer(entries int) (*EntryPacer, *roster.Roster) {
 	r := roster.New(roster.Config{
 		AnnounceEvery: time.Second, Departed: func(string) bool { return false }, Now: time.Now, Log: logr.Discard(),
 	})
 	r.Announce(roster.Announcement{ID: "i-1", Pool: "llm", Address: "e:1", Sequence: 1})
-	a := &Attending{r: r}
-	a.p = pace{
-		beat: beat, gather: func() time.Duration { return gatherFor(entries) }, log: never, roster: r.Changed, held: never, answered: never, answers: always,
-		brings:  func(wants []*schema.ModelDemand) bool { return r.HasTargetSince(a.known, wants) },
-		waiting: make(chan question, 1),
+	p := &EntryPacer{roster: r}
+	p.pacer = updatePacer{
+		interval: entryUpdateInterval, batchDelay: func() time.Duration { return entryBatchDelay(entries) },
+		nextLogChange: neverChanged, nextRosterChange: r.Changed, nextSuspectChange: neverChanged,
+		nextForecasts: neverChanged, hasForecast: alwaysHasForecast,
+		hasTarget: func(targets []*schema.ModelDemand) bool { return r.HasTargetSince(p.sent, targets) },
+		queries:   make(chan forecastQuery, 1),
 	}
-	a.p.start()
-	return a, r
+	p.pacer.start()
+	return p, r
 }
 
-// Wait notes what callers of the entry wait for.
-func (a *Attending) Wait(d *schema.ModelDemand) { a.p.hear([]*schema.ModelDemand{d}) }
+// SetDemand sets what callers of the entry wait for.
+func (p *EntryPacer) SetDemand(d *schema.ModelDemand) { p.pacer.setQuery([]*schema.ModelDemand{d}) }
 
-// Rest returns when a word to the entry is due, of all changes so far.
-func (a *Attending) Rest(ctx context.Context) bool {
-	a.p.watch()
-	_, a.known = a.r.ServersSince(a.known)
-	a.p.asked = false
-	return a.p.rest(ctx)
+// AwaitDue returns when an update to the entry is due, and counts all changes so far as
+// sent.
+func (p *EntryPacer) AwaitDue(ctx context.Context) bool {
+	p.pacer.watchChanges()
+	_, p.sent = p.roster.ServersSince(p.sent)
+	p.pacer.queryPending = false
+	return p.pacer.awaitDue(ctx)
 }
 
-// ChangesSince returns what an entry at a revision lacks, as the leader encodes it for
-// the first time.
-func ChangesSince(l *ledger.Ledger, after uint64) ([]byte, uint64) {
-	return (&encodedChanges{}).since(l, after)
+// EncodedChangesSince returns the encoded changes that an entry at a revision is missing,
+// without a cache.
+func EncodedChangesSince(l *ledger.Ledger, after uint64) ([]byte, uint64) {
+	return (&changesCache{}).since(l, after)
 }
 
-// Members tells the membership as this host knows it.
-func (c *Control) Members() string {
-	s := c.group.Status()
-	return fmt.Sprint(s.Role, " of term ", s.Term, " knows ", s.Membership.GetMembers())
+// DescribeMembership returns this host's role and the membership it knows.
+func (c *Control) DescribeMembership() string {
+	status := c.group.Status()
+	return fmt.Sprint(status.Role, " of term ", status.Term, " knows ", status.Membership.GetMembers())
 }
 
 // Version returns the version of the configuration in force at this entry.
 func (e *Entry) Version() uint64 { return uint64(e.gateway.State().Version) }
 
-// KeyHolds reports whether this entry takes requests with an API key.
-func (e *Entry) KeyHolds(key string) bool { return e.gateway.AcceptsKey(key) }
+// AcceptsKey reports whether this entry accepts requests with an API key.
+func (e *Entry) AcceptsKey(key string) bool { return e.gateway.AcceptsKey(key) }
 
-// Callers serves callers' requests at this entry.
-func (e *Entry) Callers() http.Handler { return e.gateway }
+// CallerHandler returns the handler for callers' requests.
+func (e *Entry) CallerHandler() http.Handler { return e.gateway }
 
-// Attends returns the IP address of the control host that tells this entry what the leader
-// says, "": none.
-func (e *Entry) Attends() string {
+// ControlHost returns the IP address of the control host that this entry subscribes to, or
+// "".
+func (e *Entry) ControlHost() string {
 	host := e.gateway.State().ControlHost
 	if host == "" {
 		return ""
@@ -108,21 +111,22 @@
 	return ipOf(host)
 }
 
-// Servers returns how many backend servers this entry knows.
+// Servers returns the number of backend servers this entry knows.
 func (e *Entry) Servers() int { return e.gateway.State().Servers }
 
-// ReadyServers returns how many of them take new work.
+// ReadyServers returns the number of backend servers that accept new work.
 func (e *Entry) ReadyServers() int { return e.gateway.State().Ready }
 
-// Lag tells whether a control host's log lags.
-type Lag struct{ l lag }
+// LagDetector exports lagDetector.
+type LagDetector struct{ detector lagDetector }
 
-// Holds reports whether a host lags that has applied so much of the log, and the leader
-// so much.
-func (l *Lag) Holds(applied, leaders uint64) bool { return l.l.holds(applied, leaders, time.Now()) }
+// Exceeded calls exceeded with the current time.
+func (l *LagDetector) Exceeded(applied, leaderApplied uint64) bool {
+	return l.detector.exceeded(applied, leaderApplied, time.Now())
+}
 
-// Withheld is what tells whether acknowledgements of configurations are withheld.
-type Withheld struct{ w withheld }
+// AckGate exports ackGate.
+type AckGate struct{ gate ackGate }
 
-// Hold notes whether entries are behind.
-func (w *Withheld) Hold(untold error) bool { return w.w.hold(untold) }
+// Withhold calls withhold.
+func (g *AckGate) Withhold(ackErr error) bool { return g.gate.withhold(ackErr) }
--- a/internal/role/follow.go
+++ b/internal/role/follow.go
@@ -15,62 +15,63 @@
 )
 
 const (
-	// leaderSilence is how long the leader may say nothing to a control host.
-	leaderSilence = 1200 * time.Millisecond
-	// firstWordWait is how long its first word is waited for: a host that has just begun to
-	// lead may be lost already, and the one that leads next is known by then.
-	firstWordWait = 500 * time.Millisecond
-	// lostEvery is how often it is logged that the leader is lost.
-	lostEvery = time.Second
-	// leaderCheck is how often a host looks whether another one leads.
-	leaderCheck = 25 * time.Millisecond
-	// followPause is the least time between two words of a host to the leader: what entries
-	// ask for meanwhile goes in one word. Nine hosts are 360 words a second at most.
-	followPause = 25 * time.Millisecond
+	// leaderSilenceTimeout is how long the leader may be silent before a host stops
+	// following it.
+	leaderSilenceTimeout = 1200 * time.Millisecond
+	// firstUpdateTimeout bounds the wait for a leader's first update: a host that has just
+	// started to lead may be lost already, and the next leader is known by then.
+	firstUpdateTimeout = 500 * time.Millisecond
+	// followLogInterval is the shortest time between two log lines about a lost leader.
+	followLogInterval = time.Second
+	// leaderPollInterval is how often a host checks whether another host leads.
+	leaderPollInterval = 25 * time.Millisecond
+	// minReportInterval is the shortest time between two reports of a host to the leader;
+	// demand of entries in between is sent in one report. Nine hosts send at most 360
+	// reports a second.
+	minReportInterval = 25 * time.Millisecond
 )
 
 var (
-	errNotLeader   = errors.New("the host does not lead")
-	errOtherLeader = errors.New("another host leads")
-	errSilent      = errors.New("the leader is silent")
-	errStopping    = errors.New("the host is stopping")
+	errNotLeader    = errors.New("the host does not lead")
+	errOtherLeader  = errors.New("another host leads")
+	errLeaderSilent = errors.New("the leader is silent")
+	errStopping     = errors.New("the host is stopping")
 )
 
-// follow keeps a stream to whichever host leads, this one among them, until the host
-// stops.
-func (c *Control) follow() {
-	var logged time.Time
+// followLeaders follows whichever host leads, including this one, until the host stops.
+func (c *Control) followLeaders() {
+	var lastLogged time.Time
 	for {
 		if leader := c.group.Status().LeaderHost; leader != "" {
 			err := c.followLeader(leader)
-			if now := time.Now(); now.Sub(logged) > lostEvery {
-				// A host that does not answer is tried many times a second.
-				logged = now
+			if now := time.Now(); now.Sub(lastLogged) > followLogInterval {
+				// A host that does not respond is tried many times a second.
+				lastLogged = now
 				c.cfg.Log.Info("leader not followed", "leader", leader, "error", asynclog.ErrorText(err))
 			}
-			if errors.Is(err, errSilent) {
-				// Something between the hosts may have lost track of the connection.
-				c.news.Reset(leader)
+			if errors.Is(err, errLeaderSilent) {
+				// A device between the hosts may have dropped its state of the connection.
+				c.leaderDialer.Reset(leader)
 			}
 		}
 		select {
 		case <-c.stop:
 			return
-		case <-time.After(leaderCheck):
+		case <-time.After(leaderPollInterval):
 		}
 	}
 }
 
 // followLeader follows one leader until it is lost.
 func (c *Control) followLeader(leader string) error {
-	client, err := c.news.Client(leader)
+	client, err := c.leaderDialer.Client(leader)
 	if err != nil {
-		return errors.Newf("reach leader: %w", err)
+		return errors.Newf("connect to leader: %w", err)
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	defer cancel(nil)
-	silence := time.AfterFunc(firstWordWait, func() { cancel(errSilent) })
-	defer silence.Stop()
+	silenceTimer := time.AfterFunc(firstUpdateTimeout, func() { cancel(errLeaderSilent) })
+	defer silenceTimer.Stop()
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel(nil)
@@ -83,51 +84,53 @@
 	if err != nil {
 		return errors.Newf("follow: %w", err)
 	}
-	c.entries.ResetReported()
-	c.heard.Reset(c.cfg.Settings.Get().GetAnnounceEvery().AsDuration())
+	c.subscribers.ResetReported()
+	c.announcements.Reset(c.cfg.Settings.Get().GetAnnounceEvery().AsDuration())
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		c.tellLeader(ctx, stream)
+		c.reportToLeader(ctx, stream)
 	}()
 	for first := true; ; first = false {
-		news, err := stream.Recv()
+		update, err := stream.Recv()
 		if err != nil {
 			if cause := context.Cause(ctx); cause != nil {
 				err = cause
 			}
-			return errors.Newf("hear leader: %w", err)
+			return errors.Newf("receive from leader: %w", err)
 		}
-		silence.Reset(leaderSilence)
-		if news.GetNotLeader() {
+		silenceTimer.Reset(leaderSilenceTimeout)
+		if update.GetNotLeader() {
 			return errNotLeader
 		}
 		if first {
-			c.cfg.Log.Info("leader followed", "leader", leader, "term", news.GetKnown().GetTerm())
+			c.cfg.Log.Info("leader followed", "leader", leader, "term", update.GetKnown().GetTerm())
 		}
-		// Before the mirror, whose word lets entries be told: an entry that has just started
-		// must not serve before it knows what is held back.
-		c.book.Merge(news.GetSuspects(), true)
-		if !c.mirror.Apply(news) {
-			return errors.Newf("term %d: %w", news.GetKnown().GetTerm(), errOtherLeader)
+		// Suspects are merged before the mirror is updated, which allows updates to
+		// entries: an entry that has just started must not serve before it knows the
+		// held-back requests.
+		c.suspects.Merge(update.GetSuspects(), true)
+		if !c.mirror.Apply(update) {
+			return errors.Newf("term %d: %w", update.GetKnown().GetTerm(), errOtherLeader)
 		}
-		c.mirror.Confirm(c.confirmedBy(news), news.GetRevision())
+		c.mirror.Confirm(c.leaderConfirmedAt(update), update.GetRevision())
 	}
 }
 
-// confirmedBy is a moment at which the leader was one, by its answer to a message of this
-// host; the zero time: none is proved. It runs from that message, on this host's clock.
-func (c *Control) confirmedBy(news *schema.LeaderNews) time.Time {
-	echo := news.GetEchoUs()
+// leaderConfirmedAt returns a time, on this host's clock, at which the leader was confirmed
+// as leader. It counts from the report of this host that the update echoes; the zero time
+// means that the update proves none.
+func (c *Control) leaderConfirmedAt(update *schema.LeaderNews) time.Time {
+	echo := update.GetEchoUs()
 	if echo == 0 {
 		return time.Time{}
 	}
-	return c.began.Add(time.Duration(echo)*time.Microsecond - time.Duration(news.GetConfirmedAgeMs())*time.Millisecond)
+	return c.startedAt.Add(time.Duration(echo)*time.Microsecond - time.Duration(update.GetConfirmedAgeMs())*time.Millisecond)
 }
 
-// watchLeader ends a stream when another host leads or this one stops.
+// watchLeader cancels a stream when another host leads or this one stops.
 func (c *Control) watchLeader(ctx context.Context, leader string, cancel context.CancelCauseFunc) {
-	ticker := time.NewTicker(leaderCheck)
+	ticker := time.NewTicker(leaderPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -138,38 +141,39 @@
 			return
 		case <-ticker.C:
 		}
-		if now := c.group.Status().LeaderHost; now != "" && now != leader {
+		if current := c.group.Status().LeaderHost; current != "" && current != leader {
 			cancel(errOtherLeader)
 			return
 		}
 	}
 }
 
-// tellLeader tells the leader what the entries that attend here say together.
-func (c *Control) tellLeader(ctx context.Context, stream grpc.BidiStreamingClient[schema.HostNews, schema.LeaderNews]) {
-	ticker := time.NewTicker(hostBeat)
+// reportToLeader sends the leader the combined reports of the entries subscribed to this
+// host.
+func (c *Control) reportToLeader(ctx context.Context, stream grpc.BidiStreamingClient[schema.HostNews, schema.LeaderNews]) {
+	ticker := time.NewTicker(hostUpdateInterval)
 	defer ticker.Stop()
 	host := &schema.ControlHost{Address: c.self.GetPeerAddress(), DataCentre: c.self.GetDataCentre()}
-	suspects := c.book.Reader(quarantine.PartNoted)
-	for due := true; ; {
-		news := c.entries.NextReport(subscription.Progress{Known: c.mirror.Position(), Revision: c.applied()}, due)
-		news.Host, news.Lagging, news.Servers = host, c.lags(), c.heard.TakePending()
-		news.Suspects, news.SentUs = suspects.Next(), uint64(time.Since(c.began).Microseconds())
-		if err := stream.Send(news); err != nil {
+	suspects := c.suspects.Reader(quarantine.PartNoted)
+	for intervalElapsed := true; ; {
+		report := c.subscribers.NextReport(subscription.Progress{Known: c.mirror.Position(), Revision: c.appliedIndex()}, intervalElapsed)
+		report.Host, report.Lagging, report.Servers = host, c.logLags(), c.announcements.TakePending()
+		report.Suspects, report.SentUs = suspects.Next(), uint64(time.Since(c.startedAt).Microseconds())
+		if err := stream.Send(report); err != nil {
 			return
 		}
-		host, due = nil, false
+		host, intervalElapsed = nil, false
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(followPause):
+		case <-time.After(minReportInterval):
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			due = true
-		case <-c.entries.ReportRequested():
+			intervalElapsed = true
+		case <-c.subscribers.ReportRequested():
 		}
 	}
 }
--- a/internal/role/harmful_test.go
+++ b/internal/role/harmful_test.go
@@ -12,61 +12,62 @@
 )
 
 const (
-	// heldBackIn is after how long at the most a request that has ended three servers
-	// reaches no server any more from an entry in touch.
-	heldBackIn = 3 * time.Second
-	// retriesAllowed is how often it may reach one later all the same.
-	retriesAllowed = 3
-	// repeatEvery is how often its caller repeats it.
-	repeatEvery = 200 * time.Millisecond
+	// maxHoldBackDelay is the time after its third crash from which on a request must reach
+	// no server from an entry in sync.
+	maxHoldBackDelay = 3 * time.Second
+	// maxLateArrivals is how often it may reach a server later all the same.
+	maxLateArrivals = 3
+	// repeatInterval is the time between two repeats of the request.
+	repeatInterval = 200 * time.Millisecond
 )
 
-// repeated is how a harmful request and ordinary ones fared.
-type repeated struct {
-	// harmful and ordinary are the last replies of each.
-	harmful  reply
-	ordinary []reply
+// repeatResults are the responses to a harmful request and to ordinary ones.
+type repeatResults struct {
+	// harmful is the last response to the harmful request, and ordinary are all responses
+	// to the others.
+	harmful  callResult
+	ordinary []callResult
 }
 
-// repeat has the harmful request come again and again, at one entry after the other, with
-// an ordinary request of another body beside each.
-func (s *site) repeat(length time.Duration, path string) repeated {
-	entries := make([]string, 0, len(s.entries))
-	for ip := range s.entries {
+// repeatHarmful sends the harmful request repeatedly, to one entry after the other, each
+// time together with an ordinary request that has another body.
+func (d *deployment) repeatHarmful(length time.Duration, path string) repeatResults {
+	entries := make([]string, 0, len(d.entries))
+	for ip := range d.entries {
 		entries = append(entries, ip)
 	}
 	slices.Sort(entries)
-	var out repeated
-	for i, began := 0, time.Now(); time.Since(began) < length; i++ {
-		at := entries[i%len(entries)]
-		out.harmful = s.call(at, path, harmful)
-		out.ordinary = append(out.ordinary, s.call(at, path, fmt.Sprint("ordinary ", i)))
-		time.Sleep(repeatEvery)
+	var out repeatResults
+	for i, start := 0, time.Now(); time.Since(start) < length; i++ {
+		ip := entries[i%len(entries)]
+		out.harmful = d.call(ip, path, harmfulBody)
+		out.ordinary = append(out.ordinary, d.call(ip, path, fmt.Sprint("ordinary ", i)))
+		time.Sleep(repeatInterval)
 	}
 	return out
 }
 
-// A caller repeats a request under which every server ends that begins to run it, at one
-// entry after the other. Each repeat is a new request to the entry that it comes to, which
-// sends it to a server that is left: the servers end one after the other, and what ran
-// beside it breaks off, for as long as the caller goes on. Three servers must be enough to
-// know it by, though no entry sees more than one of them end; all else is served.
-func TestRequestThatEndsItsServersIsHeldBack(t *testing.T) {
+// A caller repeats a request that crashes every server that runs it, at one entry after the
+// other. Each repeat is a new request to its entry, which forwards it to one of the
+// remaining servers: the servers crash one after the other, together with all they run, for
+// as long as the caller continues. Three crashes must be enough to identify the request,
+// though no entry sees more than one of them; all other requests must be served.
+func TestRequestThatCrashesServersIsHeldBack(t *testing.T) {
 	for _, path := range []string{"/once/x", "/again/x"} {
 		t.Run(path, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := treeSite(t, 31, 3)
-				defer s.close()
-				b := startBackends(s, 12)
+				d := newSettledDeployment(t, 31, 3)
+				defer d.close()
+				b := startBackends(d, 12)
 				defer b.close()
-				s.repeat(10*time.Second, path)
-				got := s.repeat(5*time.Second, path)
-				t.Logf("%d servers ended, %d retries later", b.endedUnder(), b.sentAfter(heldBackIn))
-				require.GreaterOrEqual(t, b.endedUnder(), 3)
-				require.LessOrEqual(t, b.sentAfter(heldBackIn), retriesAllowed, "%d servers ended", b.endedUnder())
-				require.Equal(t, 503, got.harmful.status)
-				require.Positive(t, got.harmful.after)
-				for _, r := range got.ordinary {
+				d.repeatHarmful(10*time.Second, path)
+				results := d.repeatHarmful(5*time.Second, path)
+				t.Logf("%d servers crashed, %d late arrivals", b.crashCount(), b.lateArrivals(maxHoldBackDelay))
+				require.GreaterOrEqual(t, b.crashCount(), 3)
+				require.LessOrEqual(t, b.lateArrivals(maxHoldBackDelay), maxLateArrivals, "%d servers crashed", b.crashCount())
+				require.Equal(t, 503, results.harmful.status)
+				require.Positive(t, results.harmful.retryAfterSeconds)
+				for _, r := range results.ordinary {
 					require.Equal(t, 200, r.status)
 				}
 			})
@@ -74,168 +75,169 @@
 	}
 }
 
-// Many callers ask the same, an empty lookup of one path, when all three servers end at
-// once, as a rack does. The request was at all of them. It had run to its end at every entry
-// a moment before, so that it is not what ended them; held back, it would be refused to all
-// of its callers for minutes after the servers are back.
+// Many callers send the same request, one path with an empty body, when all three servers
+// crash at once, as in the loss of a rack. The request was in flight at all of them, but it
+// had completed at every entry a moment before and so can't be the cause. If it were held
+// back, all of its callers would be refused for minutes after the servers are back.
 func TestPopularRequestIsNotHeldBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := treeSite(t, 34, 3)
-		defer s.close()
-		b := startBackends(s, 3)
+		d := newSettledDeployment(t, 34, 3)
+		defer d.close()
+		b := startBackends(d, 3)
 		defer b.close()
 		var wg sync.WaitGroup
 		for i := range 60 {
 			wg.Go(func() {
 				for range 10 {
-					s.call(fmt.Sprintf("10.0.1.%d", 1+i%3), "/once/x", "")
+					d.call(fmt.Sprintf("10.0.1.%d", 1+i%3), "/once/x", "")
 				}
 			})
 		}
-		time.Sleep(5*backendRun + backendRun/2)
-		b.endSome(3)
+		time.Sleep(5*backendRequestTime + backendRequestTime/2)
+		b.stopSome(3)
 		wg.Wait()
-		s.await(3*backendDown, "the servers", func() bool { return s.entries["10.0.1.1"].ReadyServers() >= 3 })
-		time.Sleep(heldBackIn)
+		d.await(3*backendRestartDelay, "the servers", func() bool { return d.entries["10.0.1.1"].ReadyServers() >= 3 })
+		time.Sleep(maxHoldBackDelay)
 		for i := range 30 {
-			require.Equal(t, 200, s.call(fmt.Sprintf("10.0.1.%d", 1+i%3), "/once/x", "").status)
+			require.Equal(t, 200, d.call(fmt.Sprintf("10.0.1.%d", 1+i%3), "/once/x", "").status)
 		}
 	})
 }
 
-// restartEntry ends an entry's process and starts it again, with nothing of what it knew.
-func (s *site) restartEntry(ip string) {
-	s.entries[ip].Close()
-	s.startEntry(ip)
+// restartEntry restarts an entry without its state.
+func (d *deployment) restartEntry(ip string) {
+	d.entries[ip].Close()
+	d.startEntry(ip)
 }
 
-// restartControl takes a control host's power and gives it back, with its disk.
-func (s *site) restartControl(ips ...string) {
-	var over []<-chan struct{}
+// restartControlHosts restarts control hosts after a power loss, with their disks.
+func (d *deployment) restartControlHosts(ips ...string) {
+	var closed []<-chan struct{}
 	for _, ip := range ips {
-		over = append(over, s.powerOff(ip))
+		closed = append(closed, d.powerOff(ip))
 	}
 	for i, ip := range ips {
-		<-over[i]
-		s.network.PowerOn(ip)
-		s.startControl(ip, s.disks[ip], false)
+		<-closed[i]
+		d.network.PowerOn(ip)
+		d.startControl(ip, d.disks[ip], false)
 	}
 }
 
-func (s *site) controlIPs() []string {
+func (d *deployment) controlIPs() []string {
 	var out []string
-	for ip := range s.control {
+	for ip := range d.control {
 		out = append(out, ip)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// cutEntry takes the way between an entry and all control hosts, or gives it back.
-func (s *site) cutEntry(ip string, cut bool) {
-	for _, host := range s.controlIPs() {
-		s.network.Cut(ip, host, cut)
-		s.network.Cut(host, ip, cut)
+// setEntryPartition cuts the connection between an entry and all control hosts, or heals
+// it.
+func (d *deployment) setEntryPartition(ip string, cut bool) {
+	for _, host := range d.controlIPs() {
+		d.network.Cut(ip, host, cut)
+		d.network.Cut(host, ip, cut)
 	}
 }
 
-// What is known of a harmful request must outlast whoever knew it. The request has ended
-// one or more servers when hosts are lost, or all three, and comes again afterwards at
-// entries that did not see it: where what the lost ones knew is lost with them, servers end
-// again that need not.
-func TestWhatIsKnownOfAHarmfulRequestOutlastsHosts(t *testing.T) {
+// The records of a harmful request must survive the loss of hosts that have them. The
+// request has crashed one or more servers, or all three, when hosts are lost, and arrives
+// again at entries that did not see the crashes: if the records were lost with the hosts,
+// more servers would crash.
+func TestSuspectsSurviveHostLoss(t *testing.T) {
 	const path = "/once/x"
 	entries := []string{"10.0.1.1", "10.0.1.2", "10.0.1.3"}
-	// endOne has the request end a server at an entry.
-	endOne := func(s *site, b *backends, at string) {
-		before := b.endedUnder()
-		require.Equal(s.t, 502, s.call(at, path, harmful).status)
-		require.Equal(s.t, before+1, b.endedUnder())
+	// crashOne sends the request to an entry and expects it to crash a server.
+	crashOne := func(d *deployment, b *backends, ip string) {
+		before := b.crashCount()
+		require.Equal(d.t, 502, d.call(ip, path, harmfulBody).status)
+		require.Equal(d.t, before+1, b.crashCount())
 		time.Sleep(time.Second)
 	}
-	for name, x := range map[string]func(s *site, b *backends){
-		"entries of which each saw one end restart": func(s *site, b *backends) {
-			for _, at := range entries {
-				endOne(s, b, at)
-				s.restartEntry(at)
-				s.await(5*time.Second, "the servers", func() bool { return s.entries[at].ReadyServers() > 8 })
+	for name, scenario := range map[string]func(d *deployment, b *backends){
+		"entries that saw one crash each restart": func(d *deployment, b *backends) {
+			for _, ip := range entries {
+				crashOne(d, b, ip)
+				d.restartEntry(ip)
+				d.await(5*time.Second, "the servers", func() bool { return d.entries[ip].ReadyServers() > 8 })
 			}
 		},
-		"the leader is lost between two servers": func(s *site, b *backends) {
-			endOne(s, b, entries[0])
-			endOne(s, b, entries[1])
-			s.powerOff(s.leader())
-			s.await(3*time.Second, "another leader", func() bool { return s.leader() != "" })
+		"the leader is lost between two crashes": func(d *deployment, b *backends) {
+			crashOne(d, b, entries[0])
+			crashOne(d, b, entries[1])
+			d.powerOff(d.leader())
+			d.await(3*time.Second, "another leader", func() bool { return d.leader() != "" })
 			time.Sleep(time.Second)
-			endOne(s, b, entries[2])
+			crashOne(d, b, entries[2])
 		},
-		"an entry that saw one end is lost, with its host and the leader": func(s *site, b *backends) {
-			endOne(s, b, entries[0])
-			lost := []string{s.entries[entries[0]].Attends(), s.leader()}
-			s.restartEntry(entries[0])
+		"an entry that saw one crash is lost, with its host and the leader": func(d *deployment, b *backends) {
+			crashOne(d, b, entries[0])
+			lost := []string{d.entries[entries[0]].ControlHost(), d.leader()}
+			d.restartEntry(entries[0])
 			for _, host := range slices.Compact(lost) {
-				s.powerOff(host)
+				d.powerOff(host)
 			}
-			s.await(3*time.Second, "another leader", func() bool { return s.leader() != "" })
-			s.await(5*time.Second, "the servers", func() bool { return s.entries[entries[0]].ReadyServers() > 8 })
-			endOne(s, b, entries[1])
-			endOne(s, b, entries[2])
+			d.await(3*time.Second, "another leader", func() bool { return d.leader() != "" })
+			d.await(5*time.Second, "the servers", func() bool { return d.entries[entries[0]].ReadyServers() > 8 })
+			crashOne(d, b, entries[1])
+			crashOne(d, b, entries[2])
 		},
-		"each control host restarts in turn": func(s *site, b *backends) {
-			for _, at := range entries {
-				endOne(s, b, at)
+		"each control host restarts in turn": func(d *deployment, b *backends) {
+			for _, ip := range entries {
+				crashOne(d, b, ip)
 			}
-			for _, host := range s.controlIPs() {
-				s.restartControl(host)
+			for _, host := range d.controlIPs() {
+				d.restartControlHosts(host)
 				time.Sleep(4 * time.Second)
 			}
 		},
-		"an entry is cut off while it sees two end": func(s *site, b *backends) {
-			s.cutEntry(entries[0], true)
+		"an entry is partitioned while it sees two crashes": func(d *deployment, b *backends) {
+			d.setEntryPartition(entries[0], true)
 			time.Sleep(2 * time.Second)
-			endOne(s, b, entries[0])
-			endOne(s, b, entries[0])
-			endOne(s, b, entries[1])
-			s.cutEntry(entries[0], false)
-			time.Sleep(heldBackIn)
+			crashOne(d, b, entries[0])
+			crashOne(d, b, entries[0])
+			crashOne(d, b, entries[1])
+			d.setEntryPartition(entries[0], false)
+			time.Sleep(maxHoldBackDelay)
 		},
-		"all entries restart after three": func(s *site, b *backends) {
-			for _, at := range entries {
-				endOne(s, b, at)
+		"all entries restart after three": func(d *deployment, b *backends) {
+			for _, ip := range entries {
+				crashOne(d, b, ip)
 			}
-			for _, at := range entries {
-				s.restartEntry(at)
+			for _, ip := range entries {
+				d.restartEntry(ip)
 			}
-			s.await(5*time.Second, "the servers", func() bool { return s.entries[entries[0]].ReadyServers() > 8 })
+			d.await(5*time.Second, "the servers", func() bool { return d.entries[entries[0]].ReadyServers() > 8 })
 		},
-		"everything loses power after three": func(s *site, b *backends) {
-			for _, at := range entries {
-				endOne(s, b, at)
+		"everything loses power after three": func(d *deployment, b *backends) {
+			for _, ip := range entries {
+				crashOne(d, b, ip)
 			}
-			for _, at := range entries {
-				s.entries[at].Close()
+			for _, ip := range entries {
+				d.entries[ip].Close()
 			}
-			s.restartControl(s.controlIPs()...)
-			for _, at := range entries {
-				s.startEntry(at)
+			d.restartControlHosts(d.controlIPs()...)
+			for _, ip := range entries {
+				d.startEntry(ip)
 			}
-			s.await(10*time.Second, "the servers", func() bool {
-				return !slices.ContainsFunc(entries, func(at string) bool { return s.entries[at].ReadyServers() < 8 })
+			d.await(10*time.Second, "the servers", func() bool {
+				return !slices.ContainsFunc(entries, func(ip string) bool { return d.entries[ip].ReadyServers() < 8 })
 			})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := treeSite(t, 32, 3)
-				defer s.close()
-				b := startBackends(s, 12)
+				d := newSettledDeployment(t, 32, 3)
+				defer d.close()
+				b := startBackends(d, 12)
 				defer b.close()
-				x(s, b)
-				require.Equal(t, 3, b.endedUnder())
-				got := s.repeat(3*time.Second, path)
-				require.Equal(t, 3, b.endedUnder(), "servers end again")
-				require.Equal(t, 503, got.harmful.status)
-				for _, r := range got.ordinary {
+				scenario(d, b)
+				require.Equal(t, 3, b.crashCount())
+				results := d.repeatHarmful(3*time.Second, path)
+				require.Equal(t, 3, b.crashCount(), "more servers crashed")
+				require.Equal(t, 503, results.harmful.status)
+				for _, r := range results.ordinary {
 					require.Equal(t, 200, r.status)
 				}
 			})
@@ -243,24 +245,24 @@
 	}
 }
 
-// An entry that is cut off from all control hosts has only its own evidence. It must act on
-// that: no more than three servers end under it.
-func TestEntryThatIsCutOffActsOnItsOwnEvidence(t *testing.T) {
+// An entry that is partitioned from all control hosts has only its own records. It must act
+// on them: the request crashes at most three servers.
+func TestPartitionedEntryUsesItsOwnRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := treeSite(t, 33, 2)
-		defer s.close()
-		b := startBackends(s, 12)
+		d := newSettledDeployment(t, 33, 2)
+		defer d.close()
+		b := startBackends(d, 12)
 		defer b.close()
-		at := "10.0.1.1"
-		s.cutEntry(at, true)
+		ip := "10.0.1.1"
+		d.setEntryPartition(ip, true)
 		time.Sleep(2 * time.Second)
-		var last reply
+		var last callResult
 		for range 20 {
-			last = s.call(at, "/once/x", harmful)
-			time.Sleep(repeatEvery)
+			last = d.call(ip, "/once/x", harmfulBody)
+			time.Sleep(repeatInterval)
 		}
-		require.Equal(t, 3, b.endedUnder())
+		require.Equal(t, 3, b.crashCount())
 		require.Equal(t, 503, last.status)
-		require.Equal(t, 200, s.call(at, "/once/x", "ordinary").status)
+		require.Equal(t, 200, d.call(ip, "/once/x", "ordinary").status)
 	})
 }
--- a/internal/role/http.go
+++ b/internal/role/http.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// Slow senders are cut off, or a few of them would hold all connections. The
-	// limits that callers are told are shorter.
-	headerWait = 15 * time.Second
-	// idleWait is longer than callers keep a connection idle.
-	idleWait       = 90 * time.Second
+	// The limits cut off slow senders, a few of which could otherwise occupy all
+	// connections. The limits documented for callers are shorter.
+	readHeaderTimeout = 15 * time.Second
+	// idleTimeout is longer than callers keep a connection idle.
+	idleTimeout    = 90 * time.Second
 	maxHeaderBytes = 64 << 10
 )
 
 func newServer(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait, MaxHeaderBytes: maxHeaderBytes}
+	return &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
 // serve returns when the server is closed.
--- a/internal/role/join_test.go
+++ b/internal/role/join_test.go
@@ -18,14 +18,14 @@
 	"fennelyard/internal/schema"
 )
 
-// cluster is a few control hosts on loopback addresses of their own.
+// cluster is a small group of control hosts, each with its own loopback address.
 type cluster struct {
 	t     *testing.T
 	port  int
 	seeds []string
 	hosts map[string]*role.Control
-	// engines, where set, takes the hosts' orders.
-	engines *engines
+	// engines, if set, receives the hosts' orders.
+	engines *fakeEngines
 }
 
 func newCluster(t *testing.T, ips ...string) *cluster {
@@ -52,7 +52,7 @@
 	s, err := role.LoadSettings(file)
 	require.NoError(c.t, err)
 	h, err := role.NewControl(role.ControlConfig{
-		Settings: s, Metrics: metrics.New(), Log: logr.Discard(), Engines: c.engines.reach(),
+		Settings: s, Metrics: metrics.New(), Log: logr.Discard(), Engines: c.engines.client(),
 		Handler: func(*role.Control) http.Handler { return http.NotFoundHandler() },
 	})
 	require.NoError(c.t, err)
@@ -78,8 +78,8 @@
 	}, 30*time.Second, 20*time.Millisecond)
 }
 
-// newest returns what the host that leads confirms.
-func (c *cluster) newest() string {
+// newestConfiguration returns the configuration that the leader confirms.
+func (c *cluster) newestConfiguration() string {
 	var text []byte
 	require.Eventually(c.t, func() bool {
 		for _, h := range c.hosts {
@@ -107,9 +107,9 @@
 	require.Eventually(c.t, func() bool { return c.voters() == n }, 30*time.Second, 50*time.Millisecond)
 }
 
-// Three seeds found the group and a fourth host joins. Then a seed is gone for
-// good and an empty host comes at another address: it takes the lost host's
-// place, so that another loss is borne, and nothing acknowledged is forgotten.
+// Three seeds bootstrap the group and a fourth host joins. Then a seed is lost for good and
+// an empty host starts at another address: it must replace the lost host, so that the group
+// survives another loss, and no acknowledged configuration is lost.
 func TestHostsJoinBySeedsAndAreReplaced(t *testing.T) {
 	c := newCluster(t, "127.0.1.1", "127.0.1.2", "127.0.1.3")
 	for _, ip := range []string{"127.0.1.1", "127.0.1.2", "127.0.1.3"} {
@@ -123,14 +123,14 @@
 	c.stop("127.0.1.2")
 	c.start("127.0.1.5", false)
 	c.awaitVoters(4)
-	require.Eventually(t, func() bool { return c.hosts["127.0.1.5"].Votes() }, 30*time.Second, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return c.hosts["127.0.1.5"].IsVoter() }, 30*time.Second, 50*time.Millisecond)
 	c.put(3)
 	c.stop("127.0.1.1")
-	require.Equal(t, "3", c.newest())
+	require.Equal(t, "3", c.newestConfiguration())
 }
 
-// A host loses its disk and comes back at its old address: it joins as a new
-// member in place of the old one.
+// A host loses its disk and restarts at its old address: it must join as a new member that
+// replaces the old one.
 func TestHostWithLostDiskRejoins(t *testing.T) {
 	c := newCluster(t, "127.0.2.1", "127.0.2.2", "127.0.2.3")
 	for _, ip := range []string{"127.0.2.1", "127.0.2.2", "127.0.2.3"} {
@@ -140,8 +140,8 @@
 	c.awaitVoters(3)
 	c.stop("127.0.2.3")
 	c.start("127.0.2.3", false)
-	require.Eventually(t, func() bool { return c.hosts["127.0.2.3"].Votes() }, 30*time.Second, 50*time.Millisecond)
+	require.Eventually(t, func() bool { return c.hosts["127.0.2.3"].IsVoter() }, 30*time.Second, 50*time.Millisecond)
 	c.awaitVoters(3)
 	c.stop("127.0.2.1")
-	require.Equal(t, "1", c.newest())
+	require.Equal(t, "1", c.newestConfiguration())
 }
--- a/internal/role/known.go
+++ b/internal/role/known.go
@@ -11,48 +11,47 @@
 	"fennelyard/internal/schema"
 )
 
-// rememberEvery is how often the leader records which backend servers have come and
-// gone. A change that is not recorded when the leader is lost is heard by the next
-// one from the server itself; at the largest deployment in use 115 servers are one
-// record of 10 KB.
-const rememberEvery = time.Second
+// recordInterval is how often the leader records which backend servers came and went. The
+// next leader receives an unrecorded change from the server itself; at the largest
+// deployment in use 115 servers are one record of 10 KB.
+const recordInterval = time.Second
 
-// remember records which backend servers have come and gone. Until a new leader has
-// heard all, it would forget those that it has not.
-func (c *Control) remember() {
-	known := c.knownServers()
-	if len(known) > 0 && !c.roster.Settled() {
+// recordServers records which backend servers came and went. A new leader that has not yet
+// received announcements of all servers would remove the others, so it waits.
+func (c *Control) recordServers() {
+	recorded := c.recordedServers()
+	if len(recorded) > 0 && !c.roster.Settled() {
 		return
 	}
-	q := c.serverChanges(known)
-	if len(q.GetServers())+len(q.GetForgotten()) == 0 {
+	changes := c.serverChanges(recorded)
+	if len(changes.GetServers())+len(changes.GetForgotten()) == 0 {
 		return
 	}
-	err := c.commit(context.Background(), &schema.Command{Body: &schema.Command_RememberServers{RememberServers: q}})
-	c.cfg.Log.Info("servers recorded", "come", len(q.GetServers()), "gone", len(q.GetForgotten()), "error", asynclog.ErrorText(err))
+	err := c.commit(context.Background(), &schema.Command{Body: &schema.Command_RememberServers{RememberServers: changes}})
+	c.cfg.Log.Info("servers recorded", "come", len(changes.GetServers()), "gone", len(changes.GetForgotten()), "error", asynclog.ErrorText(err))
 }
 
-func (c *Control) knownServers() []*schema.KnownServer {
+func (c *Control) recordedServers() []*schema.KnownServer {
 	var out []*schema.KnownServer
 	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) { out = r.KnownServers() })
 	return out
 }
 
-// serverChanges is the difference between the servers that take new work and those
-// that are recorded.
-func (c *Control) serverChanges(known []*schema.KnownServer) *schema.RememberServers {
-	q := &schema.RememberServers{}
+// serverChanges returns the difference between the servers that accept new work and the
+// recorded ones.
+func (c *Control) serverChanges(recorded []*schema.KnownServer) *schema.RememberServers {
+	changes := &schema.RememberServers{}
 	present := c.roster.ReadyServers()
-	for _, k := range known {
+	for _, k := range recorded {
 		switch now := present[k.GetId()]; {
 		case now == nil:
-			q.Forgotten = append(q.Forgotten, k.GetId())
+			changes.Forgotten = append(changes.Forgotten, k.GetId())
 		case proto.Equal(now, k):
 			delete(present, k.GetId())
 		}
 	}
 	for _, k := range present {
-		q.Servers = append(q.Servers, k)
+		changes.Servers = append(changes.Servers, k)
 	}
-	return q
+	return changes
 }
--- a/internal/role/lead.go
+++ b/internal/role/lead.go
@@ -15,167 +15,171 @@
 )
 
 const (
-	// hostBeat is the longest time between two words of the leader and a control host to
-	// each other. It is a part of how old the engines' loads are that entries know, and
-	// nine hosts are 180 words a second, 1% of a core.
-	hostBeat = 100 * time.Millisecond
-	// hostGatherPerEntry is how long, for each entry of the fleet, the leader gathers changes
-	// into one word to a control host that waits for none of them: with 290 entries 40 ms, and
-	// so 225 words a second at most to nine hosts, 1% of a core. A small fleet is told at
-	// once, where callers of a plain service count on 100 ms.
-	hostGatherPerEntry = 140 * time.Microsecond
+	// hostUpdateInterval is the longest time between two updates of the leader to a control
+	// host, and between two reports of the host. It contributes to the age of the engine
+	// loads that entries know; nine hosts exchange 180 messages a second, 1% of a core.
+	hostUpdateInterval = 100 * time.Millisecond
+	// hostBatchDelayPerEntry is how long, for each entry of the fleet, the leader batches
+	// changes into one update to a control host that waits for none of them. With 290
+	// entries this is 40 ms, and so at most 225 updates a second to nine hosts, 1% of a
+	// core. Small fleets are updated at once: callers of a plain service expect that within
+	// 100 ms.
+	hostBatchDelayPerEntry = 140 * time.Microsecond
 )
 
-type followStream = grpc.BidiStreamingServer[schema.HostNews, schema.LeaderNews]
+type hostStream = grpc.BidiStreamingServer[schema.HostNews, schema.LeaderNews]
 
-// lead answers a control host that wants to know what the leader knows. It returns when
-// either side is gone or this host leads no longer.
-func (c *Control) lead(stream followStream) error {
-	s := c.group.Status()
-	if !s.CommittedInTerm {
-		if err := stream.Send(&schema.LeaderNews{NotLeader: true, LeaderAddress: s.LeaderHost}); err != nil {
+// serveHost serves a control host that follows this leader. It returns when either side is
+// gone or this host no longer leads.
+func (c *Control) serveHost(stream hostStream) error {
+	status := c.group.Status()
+	if !status.CommittedInTerm {
+		if err := stream.Send(&schema.LeaderNews{NotLeader: true, LeaderAddress: status.LeaderHost}); err != nil {
 			return errors.Newf("name the leader: %w", err)
 		}
 		return nil
 	}
 	c.driver.RefreshLeadership()
-	c.recallSuspects(s.Term)
+	c.restoreSuspects(status.Term)
 	first, err := stream.Recv()
 	if err != nil {
 		return errors.Newf("hear host: %w", err)
 	}
-	l := newLeading(c, stream, first.GetHost(), s.Term)
-	c.roster.HostConnected(l.number, l.host)
-	defer c.roster.HostDisconnected(l.number, l.address())
-	defer c.driver.RemoveEntry(l.address())
-	l.hear(first)
+	h := newHostSession(c, stream, first.GetHost(), status.Term)
+	c.roster.HostConnected(h.number, h.host)
+	defer c.roster.HostDisconnected(h.number, h.address())
+	defer c.driver.RemoveEntry(h.address())
+	h.handleReport(first)
 	ctx, cancel := context.WithCancel(stream.Context())
 	go func() {
-		// It ends with the stream, which ends with this call.
+		// The goroutine ends with the stream, which ends when serveHost returns.
 		defer cancel()
-		l.listen()
+		h.receiveReports()
 	}()
-	return l.speak(ctx)
+	return h.sendUpdates(ctx)
 }
 
-// leading is one control host's stream at the leader.
-type leading struct {
+// hostSession is the stream of one control host at the leader.
+type hostSession struct {
 	c      *Control
-	stream followStream
+	stream hostStream
 	number uint64
 	host   *schema.ControlHost
 	term   uint64
-	pace   pace
-	// echo is the host's clock as its latest message left.
-	echo atomic.Uint64
-	// heard belongs to whoever hears.
-	heard roster.AnnouncementReader
-
-	// The fields below belong to speak. change is how far the host is told.
-	change   uint64
-	sequence uint64
-	// suspects reads what it is told of requests that end their servers.
+	pacer  updatePacer
+	// echoUs is the host's clock when it sent its latest report, in microseconds.
+	echoUs atomic.Uint64
+	// announcements belongs to the goroutine that receives reports.
+	announcements roster.AnnouncementReader
+
+	// The fields below belong to sendUpdates. sentChange is how far roster changes have
+	// been sent to the host.
+	sentChange uint64
+	sequence   uint64
+	// suspects reads the suspect requests that are still to be sent.
 	suspects *quarantine.Reader
 }
 
-func newLeading(c *Control, stream followStream, host *schema.ControlHost, term uint64) *leading {
-	l := &leading{c: c, stream: stream, number: c.streams.Add(1), host: host, term: term, suspects: c.book.Reader(quarantine.PartAll)}
-	l.pace = pace{
-		beat: hostBeat, gather: l.gatherFor, ended: c.stop,
-		// Control hosts have the log themselves.
-		log: never, roster: c.roster.Changed, held: c.book.Changed, answered: never, answers: always,
-		brings:  func(wants []*schema.ModelDemand) bool { return c.roster.HasTargetSince(l.change, wants) },
-		waiting: make(chan question, 1),
+func newHostSession(c *Control, stream hostStream, host *schema.ControlHost, term uint64) *hostSession {
+	h := &hostSession{c: c, stream: stream, number: c.lastStream.Add(1), host: host, term: term, suspects: c.suspects.Reader(quarantine.PartAll)}
+	h.pacer = updatePacer{
+		interval: hostUpdateInterval, batchDelay: h.batchDelay, stop: c.stop,
+		// Control hosts replicate the log themselves.
+		nextLogChange: neverChanged, nextRosterChange: c.roster.Changed, nextSuspectChange: c.suspects.Changed,
+		nextForecasts: neverChanged, hasForecast: alwaysHasForecast,
+		hasTarget: func(targets []*schema.ModelDemand) bool { return c.roster.HasTargetSince(h.sentChange, targets) },
+		queries:   make(chan forecastQuery, 1),
 	}
-	return l
+	return h
 }
 
-// gatherFor is the least time between two words to a host that waits for none of the
-// changes.
-func (l *leading) gatherFor() time.Duration {
-	return max(gatherLeast, time.Duration(l.c.roster.EntryCount())*hostGatherPerEntry)
+// batchDelay returns the shortest time between two updates to a host that waits for none of
+// the changes.
+func (h *hostSession) batchDelay() time.Duration {
+	return max(minBatchDelay, time.Duration(h.c.roster.EntryCount())*hostBatchDelayPerEntry)
 }
 
-// never returns a channel that is not closed.
-func never() <-chan struct{} { return nil }
+// neverChanged returns a channel that is never closed.
+func neverChanged() <-chan struct{} { return nil }
 
-// always: the leader can say when anything will be there.
-func always(question) bool { return true }
+// alwaysHasForecast returns true: the leader can forecast when any target is loaded.
+func alwaysHasForecast(forecastQuery) bool { return true }
 
-func (l *leading) address() string { return l.host.GetAddress() }
+func (h *hostSession) address() string { return h.host.GetAddress() }
 
-func (l *leading) listen() {
+func (h *hostSession) receiveReports() {
 	for {
-		news, err := l.stream.Recv()
+		report, err := h.stream.Recv()
 		if err != nil {
 			return
 		}
-		l.hear(news)
+		h.handleReport(report)
 	}
 }
 
-func (l *leading) hear(news *schema.HostNews) {
-	l.echo.Store(news.GetSentUs())
-	if u := news.GetTeamUses(); u != nil {
-		l.c.quotas.Report(l.address(), u, time.Now())
+func (h *hostSession) handleReport(report *schema.HostNews) {
+	h.echoUs.Store(report.GetSentUs())
+	if u := report.GetTeamUses(); u != nil {
+		h.c.quotas.Report(h.address(), u, time.Now())
 	}
-	l.c.roster.UpdateHost(l.number, l.address(), l.term, news)
-	l.c.driver.HandleDemand(l.address(), news.GetDemands())
-	l.pace.hear(news.GetDemands())
-	l.c.book.Merge(news.GetSuspects(), false)
+	h.c.roster.UpdateHost(h.number, h.address(), h.term, report)
+	h.c.driver.HandleDemand(h.address(), report.GetDemands())
+	h.pacer.setQuery(report.GetDemands())
+	h.c.suspects.Merge(report.GetSuspects(), false)
 	now := time.Now()
-	for _, h := range news.GetServers() {
-		if a, known := l.heard.Read(h, now); known && !l.c.roster.LacksStartTime(a.ID) {
-			l.c.take(a)
+	for _, server := range report.GetServers() {
+		if a, known := h.announcements.Read(server, now); known && !h.c.roster.LacksStartTime(a.ID) {
+			h.c.applyAnnouncement(a)
 		}
 	}
 }
 
-// speak tells the host what changes. The first word holds everything.
-func (l *leading) speak(ctx context.Context) error {
-	l.pace.start()
-	defer l.pace.ticker.Stop()
+// sendUpdates sends changes to the host. The first update contains everything.
+func (h *hostSession) sendUpdates(ctx context.Context) error {
+	h.pacer.start()
+	defer h.pacer.ticker.Stop()
 	for {
-		s := l.c.group.Status()
-		if !s.CommittedInTerm || s.Term != l.term || l.c.roster.HostSilent(l.number, l.address()) {
+		status := h.c.group.Status()
+		if !status.CommittedInTerm || status.Term != h.term || h.c.roster.HostSilent(h.number, h.address()) {
 			return nil
 		}
-		l.pace.watch()
-		if err := l.stream.Send(l.news()); err != nil {
+		h.pacer.watchChanges()
+		if err := h.stream.Send(h.nextUpdate()); err != nil {
 			return errors.Newf("tell host: %w", err)
 		}
-		if !l.pace.rest(ctx) || !l.pace.settle(ctx) {
+		if !h.pacer.awaitDue(ctx) || !h.pacer.batchUrgent(ctx) {
 			return nil
 		}
 	}
 }
 
-func (l *leading) news() *schema.LeaderNews {
-	l.sequence++
-	echo, status := l.echo.Load(), l.c.group.Status()
-	news := l.c.roster.UpdateSince(l.change)
-	l.change = news.GetKnown().GetChange()
-	news.Sequence, news.Known.Term = l.sequence, l.term
-	// Not when this host speaks: one that is cut off takes itself for the leader for a
-	// second, in which another is elected.
-	news.LeaderAgeMs = time.Since(status.ConfirmedAt).Milliseconds()
+func (h *hostSession) nextUpdate() *schema.LeaderNews {
+	h.sequence++
+	echo, status := h.echoUs.Load(), h.c.group.Status()
+	update := h.c.roster.UpdateSince(h.sentChange)
+	h.sentChange = update.GetKnown().GetChange()
+	update.Sequence, update.Known.Term = h.sequence, h.term
+	// Not the time of this update: a leader that is cut off assumes that it leads for
+	// another second, in which another host is elected.
+	update.LeaderAgeMs = time.Since(status.ConfirmedAt).Milliseconds()
 	if status.CommittedInTerm && !status.ConfirmedAt.IsZero() {
-		news.EchoUs, news.ConfirmedAgeMs = echo, ageMs(status.ConfirmedAt)
+		update.EchoUs, update.ConfirmedAgeMs = echo, ageMs(status.ConfirmedAt)
 	}
-	// What is committed may have been acknowledged by an earlier leader.
-	news.Revision, news.Lagging = max(l.c.applied(), status.Commit), l.c.roster.HostLagging(l.number, l.address())
-	if l.pace.asked {
-		news.Forecasts, l.pace.asked = l.c.driver.Forecasts(l.pace.question.wants), false
+	// An earlier leader may have acknowledged log entries that are committed but not yet
+	// applied here.
+	update.Revision, update.Lagging = max(h.c.appliedIndex(), status.Commit), h.c.roster.HostLagging(h.number, h.address())
+	if h.pacer.queryPending {
+		update.Forecasts, h.pacer.queryPending = h.c.driver.Forecasts(h.pacer.query.targets), false
 	}
-	news.Suspects = l.suspects.Next()
-	if l.pace.due {
-		news.Loads, news.TeamUses, l.pace.due = l.c.roster.Loads(), l.c.quotas.Sum(time.Now(), l.c.usesMuch), false
+	update.Suspects = h.suspects.Next()
+	if h.pacer.intervalElapsed {
+		update.Loads, update.TeamUses, h.pacer.intervalElapsed = h.c.roster.Loads(), h.c.quotas.Sum(time.Now(), h.c.reportsUse), false
 	}
-	return news
+	return update
 }
 
-// applied is the index up to which this host has applied the log.
-func (c *Control) applied() (index uint64) {
+// appliedIndex returns the index up to which this host has applied the log.
+func (c *Control) appliedIndex() (index uint64) {
 	c.group.Ledger().View(func(h ledger.Status, _ *ledger.Records) { index = h.Index })
 	return index
 }
--- a/internal/role/leader_bench_test.go
+++ b/internal/role/leader_bench_test.go
@@ -28,48 +28,48 @@
 )
 
 const (
-	// benchHosts are the control hosts of a group; entries spread over them.
+	// benchHosts is the number of control hosts of a group; entries spread over them.
 	benchHosts    = 9
 	benchEngines  = 240
 	benchModels   = 494
 	benchAdapters = 1069
-	// benchBusy of the models have most of the requests.
-	benchBusy    = 30
-	benchRate    = 560 // requests a second, over all entries
-	benchHeld    = 3
-	benchOnDisk  = 12
-	benchLoad    = 600 * time.Millisecond
-	benchBeat    = 1200 * time.Millisecond
-	benchRunning = 20 * time.Second
+	// benchPopularModels receive most of the requests.
+	benchPopularModels     = 30
+	benchRequestsPerSecond = 560 // over all entries
+	benchLoadedModels      = 3
+	benchModelsOnDisk      = 12
+	benchLoadTime          = 600 * time.Millisecond
+	benchAnnounceInterval  = 1200 * time.Millisecond
+	benchDuration          = 20 * time.Second
 )
 
-// farm is a set of engines that carry orders out after their time.
-type farm struct {
-	mu      sync.Mutex
-	engines []*farmEngine
-	byID    map[string]*farmEngine
-	held    map[string]int
+// fakeFleet is a set of engines that execute orders after their load time.
+type fakeFleet struct {
+	mu       sync.Mutex
+	engines  []*fleetEngine
+	byID     map[string]*fleetEngine
+	replicas map[string]int
 }
 
-type farmEngine struct {
-	id     string
-	seq    uint64
-	taken  uint64
-	held   map[string][]string
-	onDisk map[string]bool
-	busy   bool
+type fleetEngine struct {
+	id          string
+	sequence    uint64
+	ordersTaken uint64
+	loaded      map[string][]string
+	onDisk      map[string]bool
+	busy        bool
 }
 
-func newFarm(random *rand.Rand) *farm {
-	f := &farm{byID: map[string]*farmEngine{}, held: map[string]int{}}
+func newFakeFleet(random *rand.Rand) *fakeFleet {
+	f := &fakeFleet{byID: map[string]*fleetEngine{}, replicas: map[string]int{}}
 	for i := range benchEngines {
-		e := &farmEngine{id: fmt.Sprint("i-", i), held: map[string][]string{}, onDisk: map[string]bool{}}
-		for len(e.onDisk) < benchOnDisk {
+		e := &fleetEngine{id: fmt.Sprint("i-", i), loaded: map[string][]string{}, onDisk: map[string]bool{}}
+		for len(e.onDisk) < benchModelsOnDisk {
 			m := fmt.Sprint("m", random.IntN(benchModels))
 			e.onDisk[m] = true
-			if len(e.held) < benchHeld {
-				e.held[m] = nil
-				f.held[m]++
+			if len(e.loaded) < benchLoadedModels {
+				e.loaded[m] = nil
+				f.replicas[m]++
 			}
 		}
 		f.engines, f.byID[e.id] = append(f.engines, e), e
@@ -77,72 +77,72 @@
 	return f
 }
 
-func (f *farm) give(_ context.Context, _, _ string, o loading.Order) (loading.Outcome, error) {
+func (f *fakeFleet) sendOrder(_ context.Context, _, _ string, o loading.Order) (loading.Outcome, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.byID[o.Server]
-	if e.busy || e.taken != o.OrdersTaken {
+	if e.busy || e.ordersTaken != o.OrdersTaken {
 		return loading.OutcomeConflict, nil
 	}
-	e.taken++
+	e.ordersTaken++
 	switch {
 	case o.Adapter != "" && o.Load:
-		e.held[o.Model] = append(e.held[o.Model], o.Adapter)
+		e.loaded[o.Model] = append(e.loaded[o.Model], o.Adapter)
 	case o.Adapter != "":
-		e.held[o.Model] = nil
+		e.loaded[o.Model] = nil
 	case !o.Load:
-		delete(e.held, o.Model)
-		f.held[o.Model]--
+		delete(e.loaded, o.Model)
+		f.replicas[o.Model]--
 	default:
 		e.busy = true
-		time.AfterFunc(benchLoad, func() {
+		time.AfterFunc(benchLoadTime, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			e.busy, e.held[o.Model], e.onDisk[o.Model] = false, nil, true
-			f.held[o.Model]++
+			e.busy, e.loaded[o.Model], e.onDisk[o.Model] = false, nil, true
+			f.replicas[o.Model]++
 		})
 	}
 	return loading.OutcomeTaken, nil
 }
 
-func (f *farm) ask(_ context.Context, _, server string) (loading.Report, error) {
+func (f *fakeFleet) fetchReport(_ context.Context, _, server string) (loading.Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.byID[server]
-	return loading.Report{Loaded: e.views(), Busy: e.busy, OrdersTaken: e.taken}, nil
+	return loading.Report{Loaded: e.loadedModels(), Busy: e.busy, OrdersTaken: e.ordersTaken}, nil
 }
 
-func (e *farmEngine) views() []*schema.HeldModel {
+func (e *fleetEngine) loadedModels() []*schema.HeldModel {
 	var out []*schema.HeldModel
-	for m, a := range e.held {
+	for m, a := range e.loaded {
 		out = append(out, &schema.HeldModel{Name: m, Adapters: append([]string(nil), a...)})
 	}
 	return out
 }
 
-func (f *farm) announcement(e *farmEngine) roster.Announcement {
+func (f *fakeFleet) announcement(e *fleetEngine) roster.Announcement {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	e.seq++
-	a := roster.Announcement{ID: e.id, Pool: "llm", Address: "127.0.0.1:" + e.id, Slots: 12, Sequence: e.seq, Loaded: e.views()}
+	e.sequence++
+	a := roster.Announcement{ID: e.id, Pool: "llm", Address: "127.0.0.1:" + e.id, Slots: 12, Sequence: e.sequence, Loaded: e.loadedModels()}
 	for m := range e.onDisk {
 		a.OnDisk = append(a.OnDisk, m)
 	}
 	return a
 }
 
-func (f *farm) holds(model string) bool {
+func (f *fakeFleet) loaded(model string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.held[model] > 0
+	return f.replicas[model] > 0
 }
 
 func benchPool() *schema.Pool {
 	spec := &schema.EngineSpec{MemoryMb: 230000, AdapterPlaces: 8, LoadsPerSecond: 24}
 	for i := range benchModels {
 		m := &schema.ModelSpec{Name: fmt.Sprint("m", i), MemoryMb: 70000, AdapterMb: 100, LoadStoreMs: 13200, LoadDiskMs: 1300, LoadMemoryMs: 600}
-		for a := range benchAdapters / benchBusy {
-			if i < benchBusy {
+		for a := range benchAdapters / benchPopularModels {
+			if i < benchPopularModels {
 				m.Adapters = append(m.Adapters, fmt.Sprint("a", a))
 			}
 		}
@@ -151,125 +151,126 @@
 	return &schema.Pool{Name: "llm", Engine: spec}
 }
 
-// speaker plays one entry, or the entries of a whole host together.
-type speaker struct {
-	f       *farm
+// loadGenerator plays one entry, or all entries of a control host together.
+type loadGenerator struct {
+	fleet   *fakeFleet
 	number  int
 	rate    float64
 	random  *rand.Rand
 	waiting map[string]uint32
-	words   atomic.Int64
+	updates atomic.Int64
 	bytes   atomic.Int64
 }
 
-func newSpeaker(f *farm, number int, rate float64) *speaker {
-	return &speaker{f: f, number: number, rate: rate, random: rand.New(rand.NewPCG(uint64(number), 1)), waiting: map[string]uint32{}}
+func newLoadGenerator(fleet *fakeFleet, number int, rate float64) *loadGenerator {
+	return &loadGenerator{fleet: fleet, number: number, rate: rate, random: rand.New(rand.NewPCG(uint64(number), 1)), waiting: map[string]uint32{}}
 }
 
-// ask is a request; urgent is set where it waits for a model.
-func (s *speaker) ask(n int) (demands []*schema.ModelDemand, urgent bool) {
-	m := fmt.Sprint("m", s.random.IntN(benchModels))
+// nextRequest returns the demand of the n-th request; urgent is set if the request waits
+// for a model.
+func (g *loadGenerator) nextRequest(n int) (demands []*schema.ModelDemand, urgent bool) {
+	model := fmt.Sprint("m", g.random.IntN(benchModels))
 	if n%5 != 0 {
-		m = fmt.Sprint("m", s.random.IntN(benchBusy))
+		model = fmt.Sprint("m", g.random.IntN(benchPopularModels))
 	}
-	demands = append(demands, &schema.ModelDemand{Pool: "llm", Model: m, Arrived: 1})
-	if !s.f.holds(m) {
-		s.waiting[m]++
+	demands = append(demands, &schema.ModelDemand{Pool: "llm", Model: model, Arrived: 1})
+	if !g.fleet.loaded(model) {
+		g.waiting[model]++
 		urgent = true
 	}
-	for w := range s.waiting {
-		if s.f.holds(w) {
-			delete(s.waiting, w)
+	for target := range g.waiting {
+		if g.fleet.loaded(target) {
+			delete(g.waiting, target)
 		}
-		demands = append(demands, &schema.ModelDemand{Pool: "llm", Model: w, Waiting: s.waiting[w]})
+		demands = append(demands, &schema.ModelDemand{Pool: "llm", Model: target, Waiting: g.waiting[target]})
 	}
 	return demands, urgent
 }
 
-func (s *speaker) loads() []*schema.EngineLoad {
+func (g *loadGenerator) loads() []*schema.EngineLoad {
 	var out []*schema.EngineLoad
 	for i := range 10 {
-		out = append(out, &schema.EngineLoad{Server: fmt.Sprint("i-", (s.number+i*11)%benchEngines), Running: 2, Unread: 100, Models: []string{"m1", "m2"}})
+		out = append(out, &schema.EngineLoad{Server: fmt.Sprint("i-", (g.number+i*11)%benchEngines), Running: 2, Unread: 100, Models: []string{"m1", "m2"}})
 	}
 	return out
 }
 
-// hear takes in words until the stream ends.
-func (s *speaker) hear(recv func() (*schema.LeaderNews, error), took func(*schema.LeaderNews)) {
+// receiveUpdates receives updates until the stream ends.
+func (g *loadGenerator) receiveUpdates(recv func() (*schema.LeaderNews, error), onUpdate func(*schema.LeaderNews)) {
 	for {
-		news, err := recv()
+		update, err := recv()
 		if err != nil {
 			return
 		}
-		s.words.Add(1)
-		s.bytes.Add(int64(proto.Size(news)))
-		took(news)
+		g.updates.Add(1)
+		g.bytes.Add(int64(proto.Size(update)))
+		onUpdate(update)
 	}
 }
 
-// speakFor plays one entry at a control host: it tells of its requests, of those that wait
-// for a model and three times a second of what it has at the engines.
-func (s *speaker) speakFor(ctx context.Context, client schema.PeerClient) error {
+// runEntry plays one entry at a control host. It reports its requests, those that wait for
+// a model, and three times a second its loads at the engines.
+func (g *loadGenerator) runEntry(ctx context.Context, client schema.PeerClient) error {
 	stream, err := client.Attend(ctx)
 	if err != nil {
 		return err
 	}
-	var taken atomic.Uint64
-	go s.hear(stream.Recv, func(n *schema.LeaderNews) { taken.Store(n.GetSequence()) })
-	news := &schema.EntryNews{
-		Entry: &schema.RosterEntry{Host: fmt.Sprint("entry-", s.number), CallerAddress: fmt.Sprint("127.0.0.1:", s.number+1)}, Stream: 1,
+	var acked atomic.Uint64
+	go g.receiveUpdates(stream.Recv, func(n *schema.LeaderNews) { acked.Store(n.GetSequence()) })
+	report := &schema.EntryNews{
+		Entry: &schema.RosterEntry{Host: fmt.Sprint("entry-", g.number), CallerAddress: fmt.Sprint("127.0.0.1:", g.number+1)}, Stream: 1,
 	}
-	requests, beat := time.NewTicker(time.Duration(float64(time.Second)/s.rate)), time.NewTicker(300*time.Millisecond)
+	requests, reports := time.NewTicker(time.Duration(float64(time.Second)/g.rate)), time.NewTicker(300*time.Millisecond)
 	defer requests.Stop()
-	defer beat.Stop()
+	defer reports.Stop()
 	for n := 0; ; n++ {
 		urgent := n == 0
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-beat.C:
-			news.LoadsTold, news.Loads, urgent = true, s.loads(), true
+		case <-reports.C:
+			report.LoadsTold, report.Loads, urgent = true, g.loads(), true
 		case <-requests.C:
 			var demands []*schema.ModelDemand
-			demands, urgent = s.ask(n)
-			news.Demands = append(news.Demands, demands...)
+			demands, urgent = g.nextRequest(n)
+			report.Demands = append(report.Demands, demands...)
 		}
 		if !urgent {
 			continue
 		}
-		news.Taken = taken.Load()
-		if stream.Send(news) != nil {
+		report.Taken = acked.Load()
+		if stream.Send(report) != nil {
 			return nil
 		}
-		news = &schema.EntryNews{}
+		report = &schema.EntryNews{}
 	}
 }
 
-// followFor plays a control host with entries of its own.
-func (s *speaker) followFor(ctx context.Context, client schema.PeerClient, entries int) error {
+// runHost plays a control host with its own entries.
+func (g *loadGenerator) runHost(ctx context.Context, client schema.PeerClient, entries int) error {
 	stream, err := client.Follow(ctx)
 	if err != nil {
 		return err
 	}
 	var known atomic.Pointer[schema.RosterPosition]
-	go s.hear(stream.Recv, func(n *schema.LeaderNews) { known.Store(n.GetKnown()) })
-	news := &schema.HostNews{Host: &schema.ControlHost{Address: fmt.Sprint("10.0.0.", s.number, ":1")}, EntriesTold: true}
+	go g.receiveUpdates(stream.Recv, func(n *schema.LeaderNews) { known.Store(n.GetKnown()) })
+	report := &schema.HostNews{Host: &schema.ControlHost{Address: fmt.Sprint("10.0.0.", g.number, ":1")}, EntriesTold: true}
 	for i := range entries {
-		news.Entries = append(news.Entries, &schema.AttendingEntry{Stream: 1, Entry: &schema.RosterEntry{Host: fmt.Sprint("entry-", s.number, "-", i)}})
+		report.Entries = append(report.Entries, &schema.AttendingEntry{Stream: 1, Entry: &schema.RosterEntry{Host: fmt.Sprint("entry-", g.number, "-", i)}})
 	}
 	ticker := time.NewTicker(100 * time.Millisecond)
 	defer ticker.Stop()
 	for n := 0; ; {
-		for range int(s.rate / 10) {
+		for range int(g.rate / 10) {
 			n++
-			demands, _ := s.ask(n)
-			news.Demands = append(news.Demands, demands...)
+			demands, _ := g.nextRequest(n)
+			report.Demands = append(report.Demands, demands...)
 		}
-		news.Known, news.LoadsTold, news.Loads = known.Load(), true, s.loads()
-		if stream.Send(news) != nil {
+		report.Known, report.LoadsTold, report.Loads = known.Load(), true, g.loads()
+		if stream.Send(report) != nil {
 			return nil
 		}
-		news = &schema.HostNews{}
+		report = &schema.HostNews{}
 		select {
 		case <-ctx.Done():
 			return nil
@@ -278,15 +279,15 @@
 	}
 }
 
-// BenchmarkLeader drives the leader, and one more of nine control hosts, as the largest
-// deployment in use does, for twenty seconds: entries that say what is asked for, spread
-// over the hosts, engines that announce themselves and take orders. The goroutines of the
-// two bear the profile labels role=leader and role=host, so that
+// BenchmarkLeader loads the leader, and one more of nine control hosts, like the largest
+// deployment in use, for twenty seconds: entries spread over the hosts report their demand,
+// and engines announce themselves and receive orders. The goroutines of the two hosts have
+// the profile labels role=leader and role=host, so that
 //
 //	go test ./internal/role -run xxx -bench Leader/entries-300 -benchtime 1x -cpuprofile p
 //	go tool pprof -top -tagfocus role=leader p
 //
-// says what the leader spends, and on what.
+// shows the CPU time of the leader.
 func BenchmarkLeader(b *testing.B) {
 	for _, entries := range []int{30, 100, 300, 640} {
 		b.Run(fmt.Sprint("entries-", entries), func(b *testing.B) {
@@ -298,50 +299,50 @@
 }
 
 func benchLeader(b *testing.B, entries int) {
-	f := newFarm(rand.New(rand.NewPCG(1, 1)))
-	g := newBenchGroup(b, f)
-	defer g.close()
-	ctx, cancel := context.WithTimeout(context.Background(), benchRunning)
+	fleet := newFakeFleet(rand.New(rand.NewPCG(1, 1)))
+	group := newBenchGroup(b, fleet)
+	defer group.close()
+	ctx, cancel := context.WithTimeout(context.Background(), benchDuration)
 	defer cancel()
 	var wg sync.WaitGroup
-	each, rate := entries/benchHosts, benchRate/float64(entries)
-	speakers := map[string][]*speaker{}
+	entriesPerHost, rate := entries/benchHosts, benchRequestsPerSecond/float64(entries)
+	generators := map[string][]*loadGenerator{}
 	for i := range benchHosts {
 		switch i {
 		case 0, 1:
 			name := []string{"leader", "host"}[i]
-			for n := range each {
-				s := newSpeaker(f, i*each+n, rate)
-				speakers[name] = append(speakers[name], s)
-				wg.Go(func() { assert.NoError(b, s.speakFor(ctx, g.clients[i])) })
+			for n := range entriesPerHost {
+				g := newLoadGenerator(fleet, i*entriesPerHost+n, rate)
+				generators[name] = append(generators[name], g)
+				wg.Go(func() { assert.NoError(b, g.runEntry(ctx, group.clients[i])) })
 			}
 		default:
-			s := newSpeaker(f, i, rate*float64(each))
-			wg.Go(func() { assert.NoError(b, s.followFor(ctx, g.clients[0], each)) })
+			g := newLoadGenerator(fleet, i, rate*float64(entriesPerHost))
+			wg.Go(func() { assert.NoError(b, g.runHost(ctx, group.clients[0], entriesPerHost)) })
 		}
 	}
-	for i, e := range f.engines {
+	for i, e := range fleet.engines {
 		wg.Go(func() {
-			time.Sleep(benchBeat * time.Duration(i) / benchEngines)
+			time.Sleep(benchAnnounceInterval * time.Duration(i) / benchEngines)
 			for ctx.Err() == nil {
-				pprof.Do(ctx, pprof.Labels("role", "leader"), func(ctx context.Context) { _ = g.hosts[0].Announce(ctx, f.announcement(e)) })
-				time.Sleep(benchBeat)
+				pprof.Do(ctx, pprof.Labels("role", "leader"), func(ctx context.Context) { _ = group.hosts[0].Announce(ctx, fleet.announcement(e)) })
+				time.Sleep(benchAnnounceInterval)
 			}
 		})
 	}
 	wg.Wait()
 	orders := uint64(0)
-	for _, e := range f.engines {
-		orders += e.taken
+	for _, e := range fleet.engines {
+		orders += e.ordersTaken
 	}
-	b.ReportMetric(float64(orders)/benchRunning.Seconds(), "orders/s")
-	for name, list := range speakers {
-		words, bytes := int64(0), int64(0)
-		for _, s := range list {
-			words, bytes = words+s.words.Load(), bytes+s.bytes.Load()
+	b.ReportMetric(float64(orders)/benchDuration.Seconds(), "orders/s")
+	for name, list := range generators {
+		updates, bytes := int64(0), int64(0)
+		for _, g := range list {
+			updates, bytes = updates+g.updates.Load(), bytes+g.bytes.Load()
 		}
-		b.ReportMetric(float64(words)/benchRunning.Seconds(), name+"-words/s")
-		b.ReportMetric(float64(bytes)/benchRunning.Seconds()/float64(each), "bytes/s-an-entry-of-"+name)
+		b.ReportMetric(float64(updates)/benchDuration.Seconds(), name+"-words/s")
+		b.ReportMetric(float64(bytes)/benchDuration.Seconds()/float64(entriesPerHost), "bytes/s-an-entry-of-"+name)
 	}
 }
 
@@ -352,13 +353,13 @@
 	dialer  *peer.Dialer
 }
 
-func newBenchGroup(b *testing.B, f *farm) *benchGroup {
+func newBenchGroup(b *testing.B, fleet *fakeFleet) *benchGroup {
 	g := &benchGroup{dialer: peer.NewDialer(peer.DialerConfig{})}
 	ports := benchPorts(b, 2)
 	for i, name := range []string{"leader", "host"} {
 		ip := fmt.Sprint("127.0.9.", i+1)
 		pprof.Do(context.Background(), pprof.Labels("role", name), func(context.Context) {
-			g.hosts = append(g.hosts, benchControl(b, f, ip, ports))
+			g.hosts = append(g.hosts, benchControl(b, fleet, ip, ports))
 		})
 		client, err := g.dialer.Client(fmt.Sprint(ip, ":", ports[0]))
 		require.NoError(b, err)
@@ -391,7 +392,7 @@
 	return ports
 }
 
-func benchControl(b *testing.B, f *farm, ip string, ports []int) *role.Control {
+func benchControl(b *testing.B, fleet *fakeFleet, ip string, ports []int) *role.Control {
 	folder := b.TempDir()
 	file := filepath.Join(folder, "settings.yaml")
 	text := fmt.Sprintf("host: core-%s\ndata-centre: a\nip: %s\npeer-port: %d\nseeds: [\"127.0.9.1:%d\"]\n"+
@@ -401,7 +402,7 @@
 	s, err := role.LoadSettings(file)
 	require.NoError(b, err)
 	c, err := role.NewControl(role.ControlConfig{
-		Settings: s, Metrics: metrics.New(), Log: logr.Discard(), Engines: loading.Engines{SendOrder: f.give, FetchReport: f.ask},
+		Settings: s, Metrics: metrics.New(), Log: logr.Discard(), Engines: loading.Engines{SendOrder: fleet.sendOrder, FetchReport: fleet.fetchReport},
 		Handler: func(*role.Control) http.Handler { return http.NotFoundHandler() },
 	})
 	require.NoError(b, err)
--- a/internal/role/orders_test.go
+++ b/internal/role/orders_test.go
@@ -14,17 +14,17 @@
 	"fennelyard/internal/schema"
 )
 
-// engines are model engines that carry every order out at once and remember who
-// gave them.
-type engines struct {
-	mu   sync.Mutex
-	held map[string][]*schema.HeldModel
-	// by holds, for each engine, the host of each order.
-	by map[string][]string
+// fakeEngines are model engines that execute every order at once and record the host that
+// sent it.
+type fakeEngines struct {
+	mu     sync.Mutex
+	loaded map[string][]*schema.HeldModel
+	// orderHolders contains, for each engine, the host that sent each order.
+	orderHolders map[string][]string
 }
 
-// reach returns the engines as every host reaches them; none where e is nil.
-func (e *engines) reach() loading.Engines {
+// client returns the engines as hosts call them; the zero value if e is nil.
+func (e *fakeEngines) client() loading.Engines {
 	if e == nil {
 		return loading.Engines{}
 	}
@@ -32,53 +32,53 @@
 		SendOrder: func(_ context.Context, _, holder string, o loading.Order) (loading.Outcome, error) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			if int(o.OrdersTaken) != len(e.by[o.Server]) {
+			if int(o.OrdersTaken) != len(e.orderHolders[o.Server]) {
 				return loading.OutcomeConflict, nil
 			}
-			e.by[o.Server] = append(e.by[o.Server], holder)
+			e.orderHolders[o.Server] = append(e.orderHolders[o.Server], holder)
 			if o.Load {
-				e.held[o.Server] = append(e.held[o.Server], &schema.HeldModel{Name: o.Model})
+				e.loaded[o.Server] = append(e.loaded[o.Server], &schema.HeldModel{Name: o.Model})
 			}
 			return loading.OutcomeTaken, nil
 		},
 		FetchReport: func(_ context.Context, _, server string) (loading.Report, error) {
-			return loading.Report{Loaded: e.holds(server), OrdersTaken: uint64(e.orders(server))}, nil
+			return loading.Report{Loaded: e.loadedModels(server), OrdersTaken: uint64(e.orderCount(server))}, nil
 		},
 	}
 }
 
-func (e *engines) holds(server string) []*schema.HeldModel {
+func (e *fakeEngines) loadedModels(server string) []*schema.HeldModel {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]*schema.HeldModel(nil), e.held[server]...)
+	return append([]*schema.HeldModel(nil), e.loaded[server]...)
 }
 
-func (e *engines) orders(server string) int {
+func (e *fakeEngines) orderCount(server string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.by[server])
+	return len(e.orderHolders[server])
 }
 
-// announce has the engines announce themselves to whichever host leads.
+// announce announces the engines to all hosts.
 func (c *cluster) announce(sequence uint64, servers ...string) {
 	for _, h := range c.hosts {
 		for i, id := range servers {
-			a := roster.Announcement{ID: id, Pool: "pool-" + id, Address: fmt.Sprint("10.9.9.9:", i+1), Sequence: sequence, Loaded: c.engines.holds(id)}
+			a := roster.Announcement{ID: id, Pool: "pool-" + id, Address: fmt.Sprint("10.9.9.9:", i+1), Sequence: sequence, Loaded: c.engines.loadedModels(id)}
 			for _, m := range a.Loaded {
 				a.OnDisk = append(a.OnDisk, m.GetName())
 			}
-			// A host that does not lead says so.
+			// Hosts that don't lead return an error.
 			_ = h.Announce(context.Background(), a)
 		}
 	}
 }
 
-// leader returns the address of the host that leads.
+// leader returns the IP address of the leader.
 func (c *cluster) leader() (ip string) {
 	require.Eventually(c.t, func() bool {
-		for at, h := range c.hosts {
+		for address, h := range c.hosts {
 			if _, leads := h.Voters(); leads {
-				ip = at
+				ip = address
 				return true
 			}
 		}
@@ -87,13 +87,13 @@
 	return ip
 }
 
-// The leader dies while models are loaded for stock. The next leader's orders to
-// each engine come from the host that gave them before, so that no engine sees two
-// hosts take turns; only the engines of the host that died get another one.
-func TestEnginesKeepTheirOrderHolder(t *testing.T) {
+// The leader is lost while models are loaded in advance. The next leader must send orders
+// to each engine through the order holder from before, so that no engine receives orders
+// from two hosts in turn; only the engines of the lost host get a new order holder.
+func TestOrderHolderSurvivesALeaderChange(t *testing.T) {
 	ips := []string{"127.0.9.1", "127.0.9.2", "127.0.9.3"}
 	c := newCluster(t, ips...)
-	c.engines = &engines{held: map[string][]*schema.HeldModel{}, by: map[string][]string{}}
+	c.engines = &fakeEngines{loaded: map[string][]*schema.HeldModel{}, orderHolders: map[string][]string{}}
 	for _, ip := range ips {
 		c.start(ip, true)
 	}
@@ -112,35 +112,35 @@
 		}) == nil
 	}, 30*time.Second, 20*time.Millisecond)
 	sequence := uint64(0)
-	more := func(servers []string, least map[string]int) {
+	awaitOrders := func(servers []string, baseline map[string]int) {
 		require.Eventually(t, func() bool {
 			sequence++
 			c.announce(sequence, "e1", "e2", "e3")
 			for _, id := range servers {
-				if c.engines.orders(id) <= least[id] {
+				if c.engines.orderCount(id) <= baseline[id] {
 					return false
 				}
 			}
 			return true
 		}, time.Minute, 50*time.Millisecond)
 	}
-	more(servers, map[string]int{})
-	dead := c.leader()
-	c.stop(dead)
-	before, rest := map[string]int{}, []string(nil)
+	awaitOrders(servers, map[string]int{})
+	lostLeader := c.leader()
+	c.stop(lostLeader)
+	before, others := map[string]int{}, []string(nil)
 	for _, id := range servers {
-		before[id] = c.engines.orders(id)
-		if c.engines.by[id][0] != "h-"+dead {
-			rest = append(rest, id)
+		before[id] = c.engines.orderCount(id)
+		if c.engines.orderHolders[id][0] != "h-"+lostLeader {
+			others = append(others, id)
 		}
 	}
-	require.Len(t, rest, 2)
-	more(rest, before)
+	require.Len(t, others, 2)
+	awaitOrders(others, before)
 	c.engines.mu.Lock()
 	defer c.engines.mu.Unlock()
-	for _, id := range rest {
-		for _, holder := range c.engines.by[id] {
-			require.Equal(t, c.engines.by[id][0], holder, id)
+	for _, id := range others {
+		for _, holder := range c.engines.orderHolders[id] {
+			require.Equal(t, c.engines.orderHolders[id][0], holder, id)
 		}
 	}
 }
--- a/internal/role/pace.go
+++ b/internal/role/pace.go
@@ -7,63 +7,65 @@
 	"fennelyard/internal/schema"
 )
 
-// pace says when the next word on a stream is due. It belongs to the goroutine that
-// speaks, but for waiting.
-type pace struct {
-	// beat is the longest time between two words, and gather how long changes are gathered
-	// into one that nobody waits for.
-	beat   time.Duration
-	gather func() time.Duration
-	// log and roster return channels that are closed at the next change of either, and
-	// answered one that is closed when there are more forecasts.
-	log, roster, answered func() <-chan struct{}
-	// held returns a channel that is closed when a request is held back that ends its
-	// servers, or no longer.
-	held func() <-chan struct{}
-	// answers reports whether there are forecasts of what the other end wants.
-	answers func(question) bool
-	// brings reports whether a change that was not told brings what the other end wants.
-	brings func(wants []*schema.ModelDemand) bool
-	// ended is closed when the host stops.
-	ended <-chan struct{}
-	// waiting holds the latest question of the other end until rest takes it.
-	waiting chan question
+// updatePacer decides when the next update on a stream is due. It belongs to the sending
+// goroutine, except for queries.
+type updatePacer struct {
+	// interval is the longest time between two updates, and batchDelay how long changes are
+	// batched into an update that no request waits for.
+	interval   time.Duration
+	batchDelay func() time.Duration
+	// nextLogChange and nextRosterChange return channels that are closed at the next change
+	// of either, and nextForecasts one that is closed when more forecasts arrive.
+	nextLogChange, nextRosterChange, nextForecasts func() <-chan struct{}
+	// nextSuspectChange returns a channel that is closed when a request that crashes its
+	// servers is held back or released.
+	nextSuspectChange func() <-chan struct{}
+	// hasForecast reports whether there are forecasts for the targets of a query.
+	hasForecast func(forecastQuery) bool
+	// hasTarget reports whether a change that was not sent yet makes one of the targets
+	// available.
+	hasTarget func(targets []*schema.ModelDemand) bool
+	// stop is closed when the host stops.
+	stop <-chan struct{}
+	// queries contains the peer's latest query until awaitDue receives it.
+	queries chan forecastQuery
 
 	ticker *time.Ticker
-	// watched are the channels as of before the last word was put together.
-	logChanged, rosterChanged, heldChanged <-chan struct{}
-	// question is the last one of the other end, and asked is set until it is answered with
-	// forecasts.
-	question question
-	asked    bool
-	// urgent is set where the other end waits for the word that is due.
+	// These channels were obtained before the last update was built.
+	logChanged, rosterChanged, suspectsChanged <-chan struct{}
+	// query is the peer's latest query, and queryPending is set until forecasts for it are
+	// sent.
+	query        forecastQuery
+	queryPending bool
+	// urgent is set if the peer waits for the next update.
 	urgent bool
-	// due is set when a beat is over, and so the engines' loads are to be told.
-	due bool
+	// intervalElapsed is set after each interval: the next update includes the engine
+	// loads.
+	intervalElapsed bool
 }
 
-// question names the targets that requests wait for at the other end of a stream, and
-// when it was heard.
-type question struct {
-	wants []*schema.ModelDemand
-	at    time.Time
+// forecastQuery names the targets that requests at the peer wait for, and when it was
+// received.
+type forecastQuery struct {
+	targets    []*schema.ModelDemand
+	receivedAt time.Time
 }
 
-// start begins to count the time between words; the first one is due.
-func (p *pace) start() {
-	p.ticker = time.NewTicker(p.beat)
-	p.due = true
+// start starts the ticker and marks the interval as elapsed for the first update.
+func (p *updatePacer) start() {
+	p.ticker = time.NewTicker(p.interval)
+	p.intervalElapsed = true
 }
 
-// watch notes that a word is about to be put together: what changes from here on is due
-// with the next one.
-func (p *pace) watch() {
-	p.logChanged, p.rosterChanged, p.heldChanged = p.log(), p.roster(), p.held()
+// watchChanges is called before an update is built: later changes are due with the next
+// one.
+func (p *updatePacer) watchChanges() {
+	p.logChanged, p.rosterChanged, p.suspectsChanged = p.nextLogChange(), p.nextRosterChange(), p.nextSuspectChange()
 }
 
-// hear notes the latest targets that requests wait for at the other end. A later word
-// replaces one that rest has not come to.
-func (p *pace) hear(demands []*schema.ModelDemand) {
+// setQuery sets the targets that requests at the peer wait for. It replaces a query that
+// awaitDue has not received.
+func (p *updatePacer) setQuery(demands []*schema.ModelDemand) {
 	if len(demands) == 0 {
 		return
 	}
@@ -74,54 +76,54 @@
 		}
 	}
 	select {
-	case <-p.waiting:
+	case <-p.queries:
 	default:
 	}
-	p.waiting <- question{waiting, time.Now()}
+	p.queries <- forecastQuery{waiting, time.Now()}
 }
 
-// rest waits until another word is due: at once where requests at the other end wait for
-// what has changed or ask when it will be there, else when changes have been gathered. It
-// returns false when there is nobody to tell any more.
-func (p *pace) rest(ctx context.Context) bool {
+// awaitDue waits until the next update is due: at once if requests at the peer wait for a
+// change or need a forecast of it, otherwise when changes have been batched. It returns
+// false when the stream ends.
+func (p *updatePacer) awaitDue(ctx context.Context) bool {
 	p.urgent = false
-	gather := time.NewTimer(p.gather())
-	defer gather.Stop()
-	gathered, pending := false, false
-	answered := p.awaitAnswer()
-	for !gathered || !pending {
+	batchTimer := time.NewTimer(p.batchDelay())
+	defer batchTimer.Stop()
+	batched, pending := false, false
+	forecasts := p.forecastSignal()
+	for !batched || !pending {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-p.ended:
+		case <-p.stop:
 			return false
-		case p.question = <-p.waiting:
-			p.asked = len(p.question.wants) > 0
-			if answered = p.awaitAnswer(); p.asked && p.answers(p.question) {
+		case p.query = <-p.queries:
+			p.queryPending = len(p.query.targets) > 0
+			if forecasts = p.forecastSignal(); p.queryPending && p.hasForecast(p.query) {
 				p.urgent = true
 				return true
 			}
-		case <-answered:
-			if p.answers(p.question) {
+		case <-forecasts:
+			if p.hasForecast(p.query) {
 				p.urgent = true
 				return true
 			}
-			answered = p.awaitAnswer()
+			forecasts = p.forecastSignal()
 		case <-p.ticker.C:
-			p.due = true
+			p.intervalElapsed = true
 			return true
-		case <-gather.C:
-			gathered = true
+		case <-batchTimer.C:
+			batched = true
 		case <-p.logChanged:
 			p.logChanged, pending = nil, true
-		case <-p.heldChanged:
-			p.heldChanged, pending = nil, true
+		case <-p.suspectsChanged:
+			p.suspectsChanged, pending = nil, true
 		case <-p.rosterChanged:
-			// A stream without waiting requests is not woken by each change.
+			// Without waiting requests further roster changes don't wake the stream.
 			p.rosterChanged, pending = nil, true
-			if len(p.question.wants) > 0 {
-				p.rosterChanged = p.roster()
-				if p.brings(p.question.wants) {
+			if len(p.query.targets) > 0 {
+				p.rosterChanged = p.nextRosterChange()
+				if p.hasTarget(p.query.targets) {
 					p.urgent = true
 					return true
 				}
@@ -131,31 +133,30 @@
 	return true
 }
 
-// awaitAnswer returns a channel that is closed when a question may be answered; nil where
-// none is asked.
-func (p *pace) awaitAnswer() <-chan struct{} {
-	if !p.asked {
+// forecastSignal returns a channel that is closed when forecasts for a pending query may
+// have arrived, or nil if no query is pending.
+func (p *updatePacer) forecastSignal() <-chan struct{} {
+	if !p.queryPending {
 		return nil
 	}
-	return p.answered()
+	return p.nextForecasts()
 }
 
-// settle leaves a moment before a word that somebody waits for: an order's end and what
-// follows from it come within a few milliseconds. Where many are told it is the longer, so
-// that a host before 36 entries whose callers all wait has time for more than words. It
-// returns false when there is nobody to tell any more.
-func (p *pace) settle(ctx context.Context) bool {
+// batchUrgent delays an urgent update briefly: an order's end and its consequences arrive
+// within a few milliseconds. The delay grows with the number of streams, so that a host
+// with 36 entries whose callers all wait has CPU time for more than updates. It returns
+// false when the stream ends.
+func (p *updatePacer) batchUrgent(ctx context.Context) bool {
 	if !p.urgent {
 		return true
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(max(gatherLeast, p.gather()/settlePart)):
+	case <-time.After(max(minBatchDelay, p.batchDelay()/urgentDelayDivisor)):
 		return true
 	}
 }
 
-// settlePart is the part of the time for which changes are gathered that a word waits which
-// somebody waits for, one in so many: 22 ms before 36 entries.
-const settlePart = 4
+// urgentDelayDivisor divides the batch delay for urgent updates: 22 ms with 36 entries.
+const urgentDelayDivisor = 4
--- a/internal/role/refused.go
+++ b/internal/role/refused.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// refusedEvery is how often words that are refused for the same reason are logged: a
-// program that writes nothing else would fill the log. All are counted.
-const refusedEvery = time.Second
+// refusalLogInterval is the shortest time between two log lines about refusals for the same
+// reason: a faulty sender would otherwise fill the log. All refusals are counted.
+const refusalLogInterval = time.Second
 
-// refusals tell which refusals were logged lately. The zero value is ready for use.
-type refusals struct {
+// refusalLogLimiter limits the log lines of refusals. The zero value is ready to use.
+type refusalLogLimiter struct {
 	mu sync.Mutex
-	// logged is when a refusal was last logged, by what and why; guarded by mu. Its
-	// keys are the program's own, not the sender's.
-	logged map[refusedFor]time.Time
+	// lastLogged is when a refusal was last logged, by kind and reason; guarded by mu. The
+	// keys come from this program, not from the sender, so their number is bounded.
+	lastLogged map[refusalKey]time.Time
 }
 
-type refusedFor struct{ what, reason string }
+type refusalKey struct{ what, reason string }
 
-// due reports whether a refusal is to be logged now.
-func (r *refusals) due(why refusedFor) bool {
+// allow reports whether a refusal is to be logged now.
+func (r *refusalLogLimiter) allow(key refusalKey) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.logged == nil {
-		r.logged = map[refusedFor]time.Time{}
+	if r.lastLogged == nil {
+		r.lastLogged = map[refusalKey]time.Time{}
 	}
 	now := time.Now()
-	if last, seen := r.logged[why]; seen && now.Sub(last) < refusedEvery {
+	if last, seen := r.lastLogged[key]; seen && now.Sub(last) < refusalLogInterval {
 		return false
 	}
-	r.logged[why] = now
+	r.lastLogged[key] = now
 	return true
 }
 
-// RecordRefusal logs and counts what a caller of the control host sent and could not be
-// taken. what and reason are few.
+// RecordRefusal logs and counts a message to the control host that was refused. what and
+// reason must be from small fixed sets.
 func (c *Control) RecordRefusal(what, reason string, err error) {
 	c.cfg.Metrics.Refused(what, reason)
-	if c.refusals.due(refusedFor{what, reason}) {
+	if c.refusalLog.allow(refusalKey{what, reason}) {
 		c.cfg.Log.Info("refused", "what", what, "reason", reason, "error", err.Error())
 	}
 }
 
-// RecordSkippedEntries logs and counts entries of a server's lists that could not be read; the others
-// hold.
+// RecordSkippedEntries logs and counts entries of a server's lists that could not be
+// parsed; the other entries are used.
 func (c *Control) RecordSkippedEntries(server string, entries int) {
 	const what, reason = "announcement", "entries"
 	c.cfg.Metrics.Refused(what, reason)
-	if c.refusals.due(refusedFor{what, reason}) {
+	if c.refusalLog.allow(refusalKey{what, reason}) {
 		c.cfg.Log.Info("entries left out", "server", server, "entries", entries)
 	}
 }
--- a/internal/role/schedule_test.go
+++ b/internal/role/schedule_test.go
@@ -23,36 +23,38 @@
 )
 
 const (
-	scheduleControl = 5
-	// scheduleLength is for how long changes and faults go on, in simulated time, and
-	// scheduleEnd how long all may take then to know the newest configuration.
-	scheduleLength = 25 * time.Second
-	scheduleEnd    = 8 * time.Second
-	scheduleStep   = 50 * time.Millisecond
-	changeEvery    = 500 * time.Millisecond
-	// allKinds is the number of kinds of fault, and kindsAtFirst without disks that stall
-	// and entries that are added: seeds that failed then are tried as they were.
-	allKinds, kindsAtFirst = 10, 8
+	scheduleControlHosts = 5
+	// scheduleLength is how long changes and faults continue, in simulated time, and
+	// scheduleSettleLimit how long all entries may then take to receive the newest
+	// configuration.
+	scheduleLength      = 25 * time.Second
+	scheduleSettleLimit = 8 * time.Second
+	scheduleStep        = 50 * time.Millisecond
+	changeInterval      = 500 * time.Millisecond
+	// faultKinds is the number of kinds of fault, and originalFaultKinds the number without
+	// stalled disks and added entries: seeds that failed with the latter are run as they
+	// were.
+	faultKinds, originalFaultKinds = 10, 8
 )
 
-// A configuration that an operator was told is in force comes back older, or stays
-// unknown at an entry that is in touch: callers are sent by routes that were taken
-// away, and refused on routes that are there. Two operators change the configuration
-// twice a second, at hosts of their choice, while hosts lose power or their disks, one
-// at a time or all at once, and entries and control hosts are cut off from each other.
+// A configuration that was acknowledged to an operator is replaced by an older one, or does
+// not reach an entry that is in sync: callers are routed by removed routes and refused on
+// existing ones. Two operators change the configuration twice a second, at random hosts,
+// while hosts lose power or their disks, one at a time or all at once, and entries and
+// control hosts are partitioned.
 func TestConfigurationsInForceUnderFaults(t *testing.T) {
-	// Seeds that failed once, all by one cause: words that were written to an entry's
-	// stream counted as told, the leader lost power with the acknowledgement, and the
-	// election that followed took longer than a change may.
+	// Seeds that once failed, all for one cause: updates counted as acknowledged when they
+	// were written to an entry's stream, the leader lost power with the acknowledgement,
+	// and the following election took longer than a change may.
 	for _, seed := range []int64{1325, 1570, 1600, 1766} {
-		trySchedule(t, seed, kindsAtFirst)
+		runSeed(t, seed, originalFaultKinds)
 	}
 	for i := range *configSchedules {
-		trySchedule(t, *configFirstSeed+int64(i), allKinds)
+		runSeed(t, *configFirstSeed+int64(i), faultKinds)
 	}
 }
 
-func trySchedule(t *testing.T, seed int64, kinds int) {
+func runSeed(t *testing.T, seed int64, kinds int) {
 	t.Run(strconv.FormatInt(seed, 10), func(t *testing.T) {
 		t.Parallel()
 		synctest.Test(t, func(t *testing.T) { runConfigSchedule(t, seed, kinds) })
@@ -61,203 +63,205 @@
 
 // schedule is one run. It belongs to one goroutine.
 type schedule struct {
-	*site
+	*deployment
 	seed int64
-	// kinds is how many kinds of fault there are.
-	kinds int
-	begun time.Time
-	// next is the version of the next change.
+	// faultKinds is the number of kinds of fault that may occur.
+	faultKinds int
+	startedAt  time.Time
+	// nextVersion is the version of the next change.
 	nextVersion uint64
-	// acked is when each version was acknowledged; newest is the highest of them.
-	acked  map[uint64]time.Time
-	newest uint64
-	// seen is the highest version in force at each entry, in its life.
-	seen map[string]uint64
-	// stable is since when no fault holds, the zero value while one does.
-	stable time.Time
-	// outOfTouch is until when an entry is not held to the bound.
-	outOfTouch map[string]time.Time
-	// due are the ends of faults.
-	due   []due
-	lost  map[string]bool
-	trace []string
+	// ackedAt is when each version was acknowledged, and newestAcked the highest of them.
+	ackedAt     map[uint64]time.Time
+	newestAcked uint64
+	// highestSeen is the highest version in force at each entry since it started.
+	highestSeen map[string]uint64
+	// stableSince is when the last fault ended, or the zero time during a fault.
+	stableSince time.Time
+	// exemptUntil is the time until which an entry is exempt from the propagation limit.
+	exemptUntil map[string]time.Time
+	// pending are the ends of faults.
+	pending   []pendingEvent
+	lostHosts map[string]bool
+	trace     []string
 }
 
-type due struct {
-	at time.Time
-	do func()
+type pendingEvent struct {
+	at  time.Time
+	run func()
 }
 
 func runConfigSchedule(t *testing.T, seed int64, kinds int) {
 	s := &schedule{
-		site: newSite(t, seed, scheduleControl, *configEntries, noOne), seed: seed, kinds: kinds, begun: time.Now(), nextVersion: 2,
-		acked: map[uint64]time.Time{}, seen: map[string]uint64{}, outOfTouch: map[string]time.Time{},
-		lost: map[string]bool{},
+		deployment: newDeployment(t, seed, scheduleControlHosts, *configEntries, anyLeader), seed: seed,
+		faultKinds: kinds, startedAt: time.Now(), nextVersion: 2,
+		ackedAt: map[uint64]time.Time{}, highestSeen: map[string]uint64{}, exemptUntil: map[string]time.Time{},
+		lostHosts: map[string]bool{},
 	}
 	defer s.close()
-	s.await(20*time.Second, "the voters", func() bool { return s.voters() == scheduleControl })
+	s.await(20*time.Second, "the voters", func() bool { return s.voters() == scheduleControlHosts })
 	s.await(5*time.Second, "the first acknowledgement", func() bool { return s.put(1) != "" })
-	s.acknowledge(1)
-	s.await(inForce, "the first configuration in force", func() bool { return s.oldest() == 1 })
-	s.stable = time.Now()
-	began, changed, fault := time.Now(), time.Time{}, time.Now().Add(time.Second)
-	for time.Since(began) < scheduleLength {
-		if time.Since(changed) > changeEvery {
-			changed = time.Now()
+	s.recordAck(1)
+	s.await(propagationLimit, "the first configuration in force", func() bool { return s.oldestVersion() == 1 })
+	s.stableSince = time.Now()
+	start, lastChange, nextFault := time.Now(), time.Time{}, time.Now().Add(time.Second)
+	for time.Since(start) < scheduleLength {
+		if time.Since(lastChange) > changeInterval {
+			lastChange = time.Now()
 			s.change()
 		}
-		if time.Now().After(fault) {
+		if time.Now().After(nextFault) {
 			s.fault()
-			fault = time.Now().Add(time.Duration(500+s.random.Intn(6000)) * time.Millisecond)
+			nextFault = time.Now().Add(time.Duration(500+s.random.Intn(6000)) * time.Millisecond)
 		}
 		s.step()
 	}
 	s.finish()
 }
 
-func (s *schedule) note(format string, args ...any) {
-	s.trace = append(s.trace, fmt.Sprintf("%.3f ", time.Since(s.begun).Seconds())+fmt.Sprintf(format, args...))
+func (s *schedule) tracef(format string, args ...any) {
+	s.trace = append(s.trace, fmt.Sprintf("%.3f ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (s *schedule) fail(format string, args ...any) {
+func (s *schedule) failf(format string, args ...any) {
 	s.t.Helper()
-	last := s.trace[max(len(s.trace)-30, 0):]
-	require.FailNow(s.t, "broken", "seed %d: %s\n%s", s.seed, fmt.Sprintf(format, args...), fmt.Sprintln(last))
+	tail := s.trace[max(len(s.trace)-30, 0):]
+	require.FailNow(s.t, "broken", "seed %d: %s\n%s", s.seed, fmt.Sprintf(format, args...), fmt.Sprintln(tail))
 }
 
-func (s *schedule) acknowledge(version uint64) {
-	s.acked[version] = time.Now()
-	s.newest = max(s.newest, version)
+func (s *schedule) recordAck(version uint64) {
+	s.ackedAt[version] = time.Now()
+	s.newestAcked = max(s.newestAcked, version)
 }
 
-// change has an operator send the next version to some control host, or two operators
-// send one each. What has no clear answer may be in force or not. Now and then an older
-// change arrives once more; it is acknowledged and changes nothing.
+// change sends the next version to some control host, or two versions as two operators
+// would. A change without a clear response may be in force or not. In one of four cases an
+// older change is sent again; it must be acknowledged and change nothing.
 func (s *schedule) change() {
 	for range 1 + s.random.Intn(2) {
 		version := s.nextVersion
 		s.nextVersion += 1 + uint64(s.random.Intn(3))
 		if host := s.put(version); host != "" {
-			s.note("version %d acknowledged by %s", version, host)
-			s.acknowledge(version)
+			s.tracef("version %d acknowledged by %s", version, host)
+			s.recordAck(version)
 		}
 	}
 	if s.random.Intn(4) == 0 {
 		old := 1 + uint64(s.random.Int63n(int64(s.nextVersion-1)))
-		s.note("version %d again, to %s", old, s.put(old))
+		s.tracef("version %d again, to %s", old, s.put(old))
 		s.checkReads()
 	}
 }
 
-// step passes a moment and checks what must always hold.
+// step advances the time and checks the invariants.
 func (s *schedule) step() {
 	time.Sleep(scheduleStep)
-	for len(s.due) > 0 && time.Now().After(s.due[0].at) {
-		next := s.due[0]
-		s.due = s.due[1:]
-		next.do()
+	for len(s.pending) > 0 && time.Now().After(s.pending[0].at) {
+		next := s.pending[0]
+		s.pending = s.pending[1:]
+		next.run()
 	}
 	s.checkEntries()
 	s.checkReads()
 }
 
-// checkEntries: no entry takes a version back, and one in touch has what was
-// acknowledged longer ago than its bound.
+// checkEntries checks that no entry returns to an older version, and that an entry in sync
+// has every version that was acknowledged longer ago than the propagation limit.
 func (s *schedule) checkEntries() {
 	for _, ip := range slices.Sorted(maps.Keys(s.entries)) {
 		version := s.entries[ip].Version()
-		if version < s.seen[ip] {
-			s.fail("entry %s went from version %d to %d", ip, s.seen[ip], version)
+		if version < s.highestSeen[ip] {
+			s.failf("entry %s went from version %d to %d", ip, s.highestSeen[ip], version)
 		}
-		s.seen[ip] = version
+		s.highestSeen[ip] = version
 		s.checkKey(ip, version)
-		if s.stable.IsZero() || time.Now().Before(s.outOfTouch[ip]) {
+		if s.stableSince.IsZero() || time.Now().Before(s.exemptUntil[ip]) {
 			continue
 		}
-		for acked, at := range s.acked {
-			if acked > version && time.Since(at) > inForce && time.Since(s.stable) > inForce {
-				s.fail("entry %s has version %d, %d was acknowledged %s ago", ip, version, acked, time.Since(at))
+		for ackedVersion, ackedAt := range s.ackedAt {
+			if ackedVersion > version && time.Since(ackedAt) > propagationLimit && time.Since(s.stableSince) > propagationLimit {
+				s.failf("entry %s has version %d, %d was acknowledged %s ago", ip, version, ackedVersion, time.Since(ackedAt))
 			}
 		}
 	}
 }
 
-// checkKey: no entry, in touch or not, takes an API key whose revocation was acknowledged
-// longer ago than the bound.
+// checkKey checks that no entry, in sync or not, accepts an API key whose revocation was
+// acknowledged longer ago than the limit.
 func (s *schedule) checkKey(ip string, version uint64) {
-	holds := s.entries[ip].KeyHolds(siteKey(version))
-	for acked, at := range s.acked {
-		if holds && acked > version && time.Since(at) > siteRevocation {
-			s.fail("entry %s takes the key of version %d, version %d was acknowledged %s ago", ip, version, acked, time.Since(at))
+	accepted := s.entries[ip].AcceptsKey(versionKey(version))
+	for ackedVersion, ackedAt := range s.ackedAt {
+		if accepted && ackedVersion > version && time.Since(ackedAt) > revocationLimit {
+			s.failf("entry %s accepts the key of version %d, version %d was acknowledged %s ago", ip, version, ackedVersion, time.Since(ackedAt))
 		}
 	}
 }
 
-// checkReads: whoever answers what the configuration is knows the newest that was
-// acknowledged before it was asked.
+// checkReads checks that a host that returns the configuration returns the newest one
+// acknowledged before the call, or a newer one.
 func (s *schedule) checkReads() {
 	for ip, c := range s.control {
 		if _, leads := c.Voters(); !leads {
 			continue
 		}
-		newest := s.newest
+		newest := s.newestAcked
 		text, err := c.Configuration(context.Background())
 		if err != nil {
 			continue
 		}
 		version, err := strconv.ParseUint(string(text), 10, 64)
 		if err != nil || version < newest {
-			s.fail("host %s reads version %q, %d was acknowledged", ip, text, newest)
+			s.failf("host %s reads version %q, %d was acknowledged", ip, text, newest)
 		}
 	}
 }
 
-// after plans the end of a fault.
-func (s *schedule) after(d time.Duration, do func()) {
-	s.due = append(s.due, due{time.Now().Add(d), do})
-	slices.SortStableFunc(s.due, func(a, b due) int { return a.at.Compare(b.at) })
+// runAfter schedules the end of a fault.
+func (s *schedule) runAfter(delay time.Duration, run func()) {
+	s.pending = append(s.pending, pendingEvent{time.Now().Add(delay), run})
+	slices.SortStableFunc(s.pending, func(a, b pendingEvent) int { return a.at.Compare(b.at) })
 }
 
-// fault begins a fault, unless one that takes control hosts away is not over: at most
-// one of them is lost at a time, but for power that all lose at the same moment.
+// fault starts a fault. While a fault that takes control hosts away lasts, no other one of
+// these starts: at most one control host is lost at a time, except for a power loss of all
+// hosts at once.
 func (s *schedule) fault() {
 	length := time.Duration(300+s.random.Intn(2500)) * time.Millisecond
 	entry := slices.Sorted(maps.Keys(s.entries))[s.random.Intn(len(s.entries))]
-	switch kind := s.random.Intn(s.kinds); {
+	switch kind := s.random.Intn(s.faultKinds); {
 	case kind == 8:
-		s.stallDisk(s.someHost(), length)
+		s.stallDisk(s.randomHost(), length)
 	case kind == 9:
-		s.addHost()
+		s.addEntry()
 	case kind == 0:
-		s.cutEntry(entry, length)
+		s.partitionEntry(entry, length)
 	case kind == 1:
-		s.restartEntry(entry)
-	case len(s.lost) > 0:
+		s.killEntry(entry)
+	case len(s.lostHosts) > 0:
 	case kind <= 3:
-		s.loseHost(s.someHost(), s.random.Intn(2) == 0, length)
+		s.powerOffHost(s.randomHost(), s.random.Intn(2) == 0, length)
 	case kind == 4:
-		s.ackAndLose(length)
+		s.wipeAfterAck(length)
 	case kind == 5:
-		s.cutHost(s.someHost(), length, s.random.Intn(3))
+		s.partitionHost(s.randomHost(), length, s.random.Intn(3))
 	case kind == 6:
-		s.losePower(length)
+		s.powerOffAllHosts(length)
 	}
 }
 
-// someHost is the leader half of the time.
-func (s *schedule) someHost() string {
+// randomHost returns the leader half of the time.
+func (s *schedule) randomHost() string {
 	if leader := s.leader(); leader != "" && s.random.Intn(2) == 0 {
 		return leader
 	}
-	return controlIP(s.random.Intn(scheduleControl))
+	return controlIP(s.random.Intn(scheduleControlHosts))
 }
 
-// recover ends the loss of a host once it can be lost again.
-func (s *schedule) recover(ip string) {
-	s.after(catchUp, func() {
-		delete(s.lost, ip)
-		if len(s.lost) == 0 {
-			s.stable = time.Now()
+// scheduleRecovery ends the loss of a host when the host may be lost again.
+func (s *schedule) scheduleRecovery(ip string) {
+	s.runAfter(catchUpLimit, func() {
+		delete(s.lostHosts, ip)
+		if len(s.lostHosts) == 0 {
+			s.stableSince = time.Now()
 		}
 	})
 }
@@ -268,124 +272,125 @@
 	}
 	s.network.PowerOn(ip)
 	s.startControl(ip, s.disks[ip], false)
-	s.note("%s is back", ip)
+	s.tracef("%s is back", ip)
 }
 
-// loseHost takes a control host's power, and its disk where it is wiped.
-func (s *schedule) loseHost(ip string, wiped bool, length time.Duration) {
-	s.note("%s loses power, wiped: %v", ip, wiped)
-	s.lost[ip] = true
-	over := s.powerOff(ip)
-	s.after(length, func() {
-		<-over
+// powerOffHost powers a control host off, and on again with an empty disk if wiped.
+func (s *schedule) powerOffHost(ip string, wiped bool, length time.Duration) {
+	s.tracef("%s loses power, wiped: %v", ip, wiped)
+	s.lostHosts[ip] = true
+	closed := s.powerOff(ip)
+	s.runAfter(length, func() {
+		<-closed
 		s.restartHost(ip, wiped)
-		s.recover(ip)
+		s.scheduleRecovery(ip)
 	})
 }
 
-// ackAndLose takes the host's disk that has acknowledged a change, at that moment.
-func (s *schedule) ackAndLose(length time.Duration) {
+// wipeAfterAck powers the host off that has just acknowledged a change, and wipes its disk.
+func (s *schedule) wipeAfterAck(length time.Duration) {
 	version := s.nextVersion
 	s.nextVersion++
 	host := s.put(version)
 	if host == "" {
 		return
 	}
-	s.acknowledge(version)
-	s.note("version %d acknowledged by %s", version, host)
-	s.loseHost(host, true, length)
+	s.recordAck(version)
+	s.tracef("version %d acknowledged by %s", version, host)
+	s.powerOffHost(host, true, length)
 }
 
-// losePower takes all control hosts' power at once; their disks are kept.
-func (s *schedule) losePower(length time.Duration) {
-	s.note("all control hosts lose power")
-	s.stable = time.Time{}
+// powerOffAllHosts powers all control hosts off at once; their disks remain.
+func (s *schedule) powerOffAllHosts(length time.Duration) {
+	s.tracef("all control hosts lose power")
+	s.stableSince = time.Time{}
 	for _, ip := range slices.Sorted(maps.Keys(s.control)) {
-		s.lost[ip] = true
-		over := s.powerOff(ip)
-		s.after(length, func() {
-			<-over
+		s.lostHosts[ip] = true
+		closed := s.powerOff(ip)
+		s.runAfter(length, func() {
+			<-closed
 			s.restartHost(ip, false)
-			s.recover(ip)
+			s.scheduleRecovery(ip)
 		})
 	}
 }
 
-// cutHost cuts a control host off from the other control hosts, in both directions or
-// in one; entries reach it.
-func (s *schedule) cutHost(ip string, length time.Duration, shape int) {
-	s.note("%s is cut off, shape %d", ip, shape)
-	s.lost[ip] = true
-	set := func(cut bool) {
-		for i := range scheduleControl {
+// partitionHost partitions a control host from the other control hosts, in both directions
+// or in one; entries reach it.
+func (s *schedule) partitionHost(ip string, length time.Duration, direction int) {
+	s.tracef("%s is partitioned, direction %d", ip, direction)
+	s.lostHosts[ip] = true
+	setCut := func(cut bool) {
+		for i := range scheduleControlHosts {
 			if other := controlIP(i); other != ip {
-				s.network.Cut(ip, other, cut && shape != 1)
-				s.network.Cut(other, ip, cut && shape != 2)
+				s.network.Cut(ip, other, cut && direction != 1)
+				s.network.Cut(other, ip, cut && direction != 2)
 			}
 		}
 	}
-	set(true)
-	s.after(length, func() {
-		set(false)
-		s.note("%s is reached again", ip)
-		s.recover(ip)
+	setCut(true)
+	s.runAfter(length, func() {
+		setCut(false)
+		s.tracef("the partition of %s ends", ip)
+		s.scheduleRecovery(ip)
 	})
 }
 
-// stallDisk keeps a control host's disk from writing, which loses nothing.
+// stallDisk stalls a control host's disk, which loses no data.
 func (s *schedule) stallDisk(ip string, length time.Duration) {
-	s.note("the disk of %s stalls for %s", ip, length)
+	s.tracef("the disk of %s stalls for %s", ip, length)
 	s.stall(ip, length)
 }
 
-// addHost starts an entry more, up to twice as many.
-func (s *schedule) addHost() {
+// addEntry starts another entry, up to twice the configured number.
+func (s *schedule) addEntry() {
 	if len(s.entries) >= 2**configEntries {
 		return
 	}
 	ip := fmt.Sprintf("10.0.1.%d", len(s.entries)+1)
-	s.note("entry %s is added", ip)
+	s.tracef("entry %s is added", ip)
 	s.startEntry(ip)
-	s.outOfTouch[ip] = time.Now().Add(catchUp)
+	s.exemptUntil[ip] = time.Now().Add(catchUpLimit)
 }
 
-// cutEntry cuts an entry off from all control hosts.
-func (s *schedule) cutEntry(ip string, length time.Duration) {
-	s.note("entry %s is cut off", ip)
-	set := func(cut bool) {
-		for i := range scheduleControl {
+// partitionEntry partitions an entry from all control hosts.
+func (s *schedule) partitionEntry(ip string, length time.Duration) {
+	s.tracef("entry %s is partitioned", ip)
+	setCut := func(cut bool) {
+		for i := range scheduleControlHosts {
 			s.network.Cut(ip, controlIP(i), cut)
 			s.network.Cut(controlIP(i), ip, cut)
 		}
 	}
-	set(true)
-	s.outOfTouch[ip] = time.Now().Add(length + catchUp)
-	s.after(length, func() { set(false) })
+	setCut(true)
+	s.exemptUntil[ip] = time.Now().Add(length + catchUpLimit)
+	s.runAfter(length, func() { setCut(false) })
 }
 
-// restartEntry kills an entry, which is back at once and knows nothing.
-func (s *schedule) restartEntry(ip string) {
-	s.note("entry %s starts again", ip)
+// killEntry kills an entry, which restarts at once without its state.
+func (s *schedule) killEntry(ip string) {
+	s.tracef("entry %s restarts", ip)
 	s.entries[ip].Close()
-	delete(s.seen, ip)
+	delete(s.highestSeen, ip)
 	s.startEntry(ip)
-	s.outOfTouch[ip] = time.Now().Add(catchUp)
+	s.exemptUntil[ip] = time.Now().Add(catchUpLimit)
 }
 
-// finish lets all faults end. Then everybody knows the newest configuration that was
-// acknowledged, and all control hosts vote.
+// finish lets all faults end. Then all entries must have the newest acknowledged
+// configuration, and all control hosts must be voters.
 func (s *schedule) finish() {
-	for began := time.Now(); len(s.due) > 0; {
+	for start := time.Now(); len(s.pending) > 0; {
 		s.step()
-		require.Less(s.t, time.Since(began), time.Minute, "seed %d", s.seed)
+		require.Less(s.t, time.Since(start), time.Minute, "seed %d", s.seed)
 	}
-	s.await(scheduleEnd, fmt.Sprintf("seed %d: the newest configuration, %d, at all entries; %v", s.seed, s.newest, s.trace),
-		func() bool { return s.oldest() >= s.newest })
-	s.await(scheduleEnd, fmt.Sprintf("seed %d: all votes; %v", s.seed, s.trace), func() bool {
-		return s.voters() == scheduleControl && !slices.ContainsFunc(slices.Collect(maps.Values(s.control)), func(c *role.Control) bool { return !c.Votes() })
+	s.await(scheduleSettleLimit, fmt.Sprintf("seed %d: the newest configuration, %d, at all entries; %v", s.seed, s.newestAcked, s.trace),
+		func() bool { return s.oldestVersion() >= s.newestAcked })
+	s.await(scheduleSettleLimit, fmt.Sprintf("seed %d: all control hosts are voters; %v", s.seed, s.trace), func() bool {
+		return s.voters() == scheduleControlHosts &&
+			!slices.ContainsFunc(slices.Collect(maps.Values(s.control)), func(c *role.Control) bool { return !c.IsVoter() })
 	})
-	s.await(scheduleEnd, fmt.Sprintf("seed %d: keys that hold at all entries; %v", s.seed, s.trace), func() bool {
-		return !slices.ContainsFunc(slices.Collect(maps.Values(s.entries)), func(e *role.Entry) bool { return !e.KeyHolds(siteKey(e.Version())) })
+	s.await(scheduleSettleLimit, fmt.Sprintf("seed %d: keys accepted at all entries; %v", s.seed, s.trace), func() bool {
+		return !slices.ContainsFunc(slices.Collect(maps.Values(s.entries)), func(e *role.Entry) bool { return !e.AcceptsKey(versionKey(e.Version())) })
 	})
 	s.checkReads()
 }
--- a/internal/role/settings.go
+++ b/internal/role/settings.go
@@ -11,15 +11,15 @@
 	"fennelyard/internal/settings"
 )
 
-// lookEvery is how often the settings file is looked at for changes that no
-// signal told of. Seeds are what changes, and they are needed seconds later.
-const lookEvery = 2 * time.Second
+// settingsPollInterval is how often the settings file is checked for changes without a
+// signal. Seeds are what changes, and they are needed only seconds later.
+const settingsPollInterval = 2 * time.Second
 
-// Settings are a host's settings file, read again when it changes. All methods
-// are safe from any goroutine.
+// Settings is a host's settings file, reloaded when it changes. All methods are safe for
+// concurrent use.
 type Settings struct {
 	file    string
-	now     atomic.Pointer[schema.JoinSettings]
+	current atomic.Pointer[schema.JoinSettings]
 	content atomic.Pointer[string]
 	log     logr.Logger
 }
@@ -36,23 +36,23 @@
 		return nil, err
 	}
 	text := string(data)
-	s.now.Store(parsed)
+	s.current.Store(parsed)
 	s.content.Store(&text)
 	return s, nil
 }
 
 // Get returns the settings in force.
-func (s *Settings) Get() *schema.JoinSettings { return s.now.Load() }
+func (s *Settings) Get() *schema.JoinSettings { return s.current.Load() }
 
-// Seeds returns the seeds' addresses for hosts among themselves.
+// Seeds returns the peer addresses of the seeds.
 func (s *Settings) Seeds() []string { return settings.SeedPeers(s.Get()) }
 
-// Watch reads the file again on each signal and every other second until stop
-// is closed. A file with faults changes nothing. What a running host takes over
-// are the seeds; all else needs a restart, and the log says so.
+// Watch reloads the file on each signal and every 2 s until stop is closed. An invalid file
+// changes nothing. A running host applies only changed seeds; all other settings need a
+// restart. The log line of a reload lists the seeds.
 func (s *Settings) Watch(log logr.Logger, signal <-chan os.Signal, stop <-chan struct{}) {
 	s.log = log
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -85,6 +85,6 @@
 		s.log.Error(err, "settings not taken", "reason", reason)
 		return
 	}
-	s.now.Store(next)
+	s.current.Store(next)
 	s.log.Info("settings reloaded", "reason", reason, "changed", true, "seeds", next.GetSeeds())
 }
