--- a/internal/role/suspects.go
+++ b/internal/role/suspects.go
@@ -17,31 +17,32 @@
 	"fennelyard/internal/schema"
 )
 
-// operatorHandler answers what the platform's operators ask, and beside it the product's own
-// questions about requests that end their servers.
+// operatorHandler serves the platform's operator endpoints and, beside them, the product's
+// own endpoints for suspect requests.
 func (c *Control) operatorHandler() http.Handler {
-	own := echo.New()
-	operator.RegisterSuspects(own, operator.SuspectsConfig{List: c.book.List, Release: c.release, Log: c.cfg.Log.WithName("quarantine")})
+	suspectRoutes := echo.New()
+	operator.RegisterSuspects(suspectRoutes, operator.SuspectsConfig{List: c.suspects.List, Release: c.releaseSuspect, Log: c.cfg.Log.WithName("quarantine")})
 	mux := http.NewServeMux()
-	mux.Handle(operator.SuspectsPath, own)
-	mux.Handle(operator.SuspectsPath+"/", own)
+	mux.Handle(operator.SuspectsPath, suspectRoutes)
+	mux.Handle(operator.SuspectsPath+"/", suspectRoutes)
 	mux.Handle("/", c.cfg.Handler(c))
 	return mux
 }
 
-// release has a request held back no longer, here and, as news goes, everywhere.
-func (c *Control) release(key quarantine.Key) bool {
-	released := c.book.Clear(key)
+// releaseSuspect releases a request that is held back, here and, as updates spread,
+// everywhere.
+func (c *Control) releaseSuspect(key quarantine.Key) bool {
+	released := c.suspects.Clear(key)
 	if released {
-		c.entries.RequestReport()
+		c.subscribers.RequestReport()
 	}
 	return released
 }
 
-// recallSuspects takes in, once in a term, the requests that end their servers as earlier
-// leaders recorded them.
-func (c *Control) recallSuspects(term uint64) {
-	if c.recalled.Swap(term) == term {
+// restoreSuspects restores, once a term, the suspect requests that earlier leaders
+// recorded.
+func (c *Control) restoreSuspects(term uint64) {
+	if c.restoredTerm.Swap(term) == term {
 		return
 	}
 	var list []*schema.Suspect
@@ -49,56 +50,56 @@
 	if len(list) == 0 {
 		return
 	}
-	c.book.Merge(list, false)
+	c.suspects.Merge(list, false)
 	c.cfg.Log.Info("suspects recalled", "count", len(list), "term", term)
 }
 
-func (c *Control) knownSuspects() []*schema.KnownSuspect {
+func (c *Control) recordedSuspects() []*schema.KnownSuspect {
 	var out []*schema.KnownSuspect
 	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) { out = r.KnownSuspects() })
 	return out
 }
 
-// rememberSuspects records which requests end their servers: entries and hosts know them,
-// but all of them may lose power at once.
-func (c *Control) rememberSuspects() {
-	c.recallSuspects(c.group.Status().Term)
-	q := c.suspectChanges()
-	if len(q.GetSuspects())+len(q.GetForgotten()) == 0 {
+// recordSuspects records which requests crash their servers: entries and hosts know them,
+// but may all lose power at once.
+func (c *Control) recordSuspects() {
+	c.restoreSuspects(c.group.Status().Term)
+	changes := c.suspectChanges()
+	if len(changes.GetSuspects())+len(changes.GetForgotten()) == 0 {
 		return
 	}
-	err := c.commit(context.Background(), &schema.Command{Body: &schema.Command_RememberSuspects{RememberSuspects: q}})
-	c.cfg.Log.Info("suspects recorded", "come", len(q.GetSuspects()), "gone", len(q.GetForgotten()), "error", asynclog.ErrorText(err))
+	err := c.commit(context.Background(), &schema.Command{Body: &schema.Command_RememberSuspects{RememberSuspects: changes}})
+	c.cfg.Log.Info("suspects recorded", "come", len(changes.GetSuspects()), "gone", len(changes.GetForgotten()), "error", asynclog.ErrorText(err))
 }
 
-// suspectChanges is the difference between the requests that are likely to end their
-// servers and those that are recorded.
+// suspectChanges returns the difference between the requests that are likely to crash their
+// servers and the recorded ones.
 func (c *Control) suspectChanges() *schema.RememberSuspects {
 	recorded := map[string]*schema.Suspect{}
-	for _, k := range c.knownSuspects() {
+	for _, k := range c.recordedSuspects() {
 		recorded[string(k.GetSuspect().GetKey())] = k.GetSuspect()
 	}
-	q, now := &schema.RememberSuspects{}, time.Now().UnixMilli()
-	for at := uint64(0); ; {
-		list, to := c.book.Since(at, quarantine.PartLikely)
+	changes, now := &schema.RememberSuspects{}, time.Now().UnixMilli()
+	for read := uint64(0); ; {
+		list, to := c.suspects.Since(read, quarantine.PartLikely)
 		if len(list) == 0 {
 			break
 		}
-		at = to
+		read = to
 		for _, s := range list {
-			if !sameServers(recorded[string(s.GetKey())], s) {
-				q.Suspects = append(q.Suspects, &schema.KnownSuspect{Suspect: s, AtMs: now})
+			if !sameEndedServers(recorded[string(s.GetKey())], s) {
+				changes.Suspects = append(changes.Suspects, &schema.KnownSuspect{Suspect: s, AtMs: now})
 			}
 			delete(recorded, string(s.GetKey()))
 		}
 	}
 	for _, s := range recorded {
-		q.Forgotten = append(q.Forgotten, bytes.Clone(s.GetKey()))
+		changes.Forgotten = append(changes.Forgotten, bytes.Clone(s.GetKey()))
 	}
-	return q
+	return changes
 }
 
-// sameServers reports whether the same servers ended under two suspects.
-func sameServers(one, other *schema.Suspect) bool {
+// sameEndedServers reports whether two suspects ended the same servers.
+func sameEndedServers(one, other *schema.Suspect) bool {
 	return slices.EqualFunc(one.GetEnded(), other.GetEnded(), func(a, b *schema.EndedServer) bool { return proto.Equal(a, b) })
 }
--- a/internal/role/touch.go
+++ b/internal/role/touch.go
@@ -6,68 +6,69 @@
 )
 
 const (
-	// leaderlessFor is how long a control host that has lost the leader goes on telling
-	// entries what it last knew. An election is over by then, and entries stay where they
-	// are; a host that is cut off sends them to others soon enough for a change that is
-	// acknowledged meanwhile to be in force everywhere in its two seconds.
-	leaderlessFor = 1800 * time.Millisecond
-	// lagFor is how long a host may take to apply what the leader's log had applied when it
-	// last spoke. On a slow disk it takes longer; its entries then go to others, which have
-	// a changed configuration in time.
-	lagFor = time.Second
+	// leaderLossTolerance is how long a control host that has lost the leader continues to
+	// send entries its last known state. An election is over by then, and entries stay
+	// subscribed; a host that is cut off redirects them early enough for a change
+	// acknowledged meanwhile to be in force everywhere within 2 s.
+	leaderLossTolerance = 1800 * time.Millisecond
+	// lagTolerance is how long a host may take to apply what the leader had applied at its
+	// last update. On a slow disk it takes longer; its entries then subscribe to other
+	// hosts, which have a changed configuration in time.
+	lagTolerance = time.Second
 )
 
-// lag tells whether a control host's log lags. The zero value is ready for use.
-type lag struct {
+// lagDetector detects that a control host's log lags. The zero value is ready to use.
+type lagDetector struct {
 	mu sync.Mutex
-	// owed is what the log must have applied by owedSince plus lagFor; 0: nothing. Guarded
-	// by mu.
-	owed      uint64
-	owedSince time.Time
+	// target is the index that the log must have applied by targetSince plus lagTolerance,
+	// or 0. Both are guarded by mu.
+	target      uint64
+	targetSince time.Time
 }
 
-// holds reports whether a host lags that has applied so much of the log, of which the
-// leader had applied so much when it last spoke.
-func (l *lag) holds(applied, leaders uint64, now time.Time) bool {
+// exceeded reports whether a host lags, from its applied index and the leader's applied
+// index at its last update.
+func (l *lagDetector) exceeded(applied, leaderApplied uint64, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if applied >= l.owed {
-		l.owed = 0
+	if applied >= l.target {
+		l.target = 0
 	}
-	if l.owed == 0 && applied < leaders {
-		l.owed, l.owedSince = leaders, now
+	if l.target == 0 && applied < leaderApplied {
+		l.target, l.targetSince = leaderApplied, now
 	}
-	return l.owed != 0 && now.Sub(l.owedSince) > lagFor
+	return l.target != 0 && now.Sub(l.targetSince) > lagTolerance
 }
 
-// lags reports whether this host's log lags so much that it tells entries nothing.
-func (c *Control) lags() bool {
+// logLags reports whether this host's log lags so much that it sends no updates to entries.
+func (c *Control) logLags() bool {
 	_, revision := c.mirror.LeaderLastSeen()
-	return c.lag.holds(c.applied(), revision, time.Now())
+	return c.logLag.exceeded(c.appliedIndex(), revision, time.Now())
 }
 
-// announceGrace is for how much longer a host without messages of the leader takes servers'
-// announcements for it, while it knows from the group which host leads. It is less than the
-// silence after which a server counts as gone.
-const announceGrace = 1200 * time.Millisecond
+// announcementGrace is how much longer a host without updates from the leader accepts
+// announcements for it, while the group knows which host leads. It is shorter than the
+// silence after which a server is considered gone.
+const announcementGrace = 1200 * time.Millisecond
 
-// takesAnnouncements reports whether announcements that this host takes reach the leader, or
-// will once this host follows it.
-func (c *Control) takesAnnouncements() bool {
-	if c.inTouch() {
+// relaysAnnouncements reports whether announcements accepted by this host reach the leader,
+// or will once this host follows it.
+func (c *Control) relaysAnnouncements() bool {
+	if c.inSync() {
 		return true
 	}
-	heard, _ := c.mirror.LeaderLastSeen()
-	if heard.Before(c.began) {
-		heard = c.began
+	lastSeen, _ := c.mirror.LeaderLastSeen()
+	if lastSeen.Before(c.startedAt) {
+		lastSeen = c.startedAt
 	}
-	return c.group.Status().LeaderHost != "" && time.Since(heard) < leaderlessFor+announceGrace
+	return c.group.Status().LeaderHost != "" && time.Since(lastSeen) < leaderLossTolerance+announcementGrace
 }
 
-// inTouch reports whether entries may rely on what this host tells them. After its log
-// has lagged the leader must have said that it waits for this host again: a change that
-// is acknowledged without it would be unknown to entries that come here.
-func (c *Control) inTouch() bool {
-	heard, _ := c.mirror.LeaderLastSeen()
-	return !heard.IsZero() && time.Since(heard) < leaderlessFor && !c.mirror.MarkedLagging() && !c.lags()
+// inSync reports whether entries may rely on updates from this host. After its log has
+// lagged, the leader must have confirmed that it waits for this host's acknowledgements
+// again: a change acknowledged without this host would be unknown to entries that subscribe
+// here.
+func (c *Control) inSync() bool {
+	lastSeen, _ := c.mirror.LeaderLastSeen()
+	return !lastSeen.IsZero() && time.Since(lastSeen) < leaderLossTolerance && !c.mirror.MarkedLagging() && !c.logLags()
 }
--- a/internal/role/tree_test.go
+++ b/internal/role/tree_test.go
@@ -15,169 +15,172 @@
 	"fennelyard/internal/schema"
 )
 
-// treeSite starts five control hosts and entries that all have the first configuration, and
-// have settled with the hosts that they prefer.
-func treeSite(t *testing.T, seed int64, entries int) *site { return treeSiteOf(t, seed, 5, entries) }
+// newSettledDeployment starts five control hosts and entries that all have the first
+// configuration and are subscribed to their preferred hosts.
+func newSettledDeployment(t *testing.T, seed int64, entries int) *deployment {
+	return newSettledDeploymentOf(t, seed, 5, entries)
+}
 
-func treeSiteOf(t *testing.T, seed int64, control, entries int) *site {
-	s := newSite(t, seed, control, entries, noOne)
-	s.await(20*time.Second, "the voters", func() bool { return s.voters() == control })
-	s.await(time.Second, "an acknowledgement", func() bool { return s.put(1) != "" })
-	s.await(inForce, "the first configuration in force", func() bool { return s.oldest() == 1 })
+func newSettledDeploymentOf(t *testing.T, seed int64, control, entries int) *deployment {
+	d := newDeployment(t, seed, control, entries, anyLeader)
+	d.await(20*time.Second, "the voters", func() bool { return d.voters() == control })
+	d.await(time.Second, "an acknowledgement", func() bool { return d.put(1) != "" })
+	d.await(propagationLimit, "the first configuration in force", func() bool { return d.oldestVersion() == 1 })
 	time.Sleep(6 * time.Second)
-	return s
+	return d
 }
 
-// attended counts the entries of each control host.
-func (s *site) attended() map[string]int {
+// subscriberCounts returns the number of subscribed entries by control host.
+func (d *deployment) subscriberCounts() map[string]int {
 	out := map[string]int{}
-	for _, e := range s.entries {
-		out[e.Attends()]++
+	for _, e := range d.entries {
+		out[e.ControlHost()]++
 	}
 	return out
 }
 
-// someFollower returns a control host that does not lead and has entries.
-func (s *site) someFollower() string {
-	s.t.Helper()
-	leader := s.leader()
-	for ip := range s.control {
-		if ip != leader && s.attended()[ip] > 0 {
+// followerWithEntries returns a control host that does not lead and has subscribed entries.
+func (d *deployment) followerWithEntries() string {
+	d.t.Helper()
+	leader := d.leader()
+	for ip := range d.control {
+		if ip != leader && d.subscriberCounts()[ip] > 0 {
 			return ip
 		}
 	}
-	require.FailNow(s.t, "no follower has entries")
+	require.FailNow(d.t, "no follower has entries")
 	return ""
 }
 
-// Entries spread over all control hosts, so that none of them, the leader least of all, has
-// to speak to every entry.
+// Entries must spread over all control hosts, so that none of them, and least of all the
+// leader, has to update every entry.
 func TestEntriesSpreadOverControlHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := treeSite(t, 11, 40)
-		defer s.close()
-		attended := s.attended()
-		require.Len(t, attended, 5, attended)
-		for host, n := range attended {
+		d := newSettledDeployment(t, 11, 40)
+		defer d.close()
+		counts := d.subscriberCounts()
+		require.Len(t, counts, 5, counts)
+		for host, n := range counts {
 			// Eight on average, and three standard deviations.
 			require.InDelta(t, 8, n, 8, host)
 		}
 	})
 }
 
-// The leader loses power. Its own entries go to other hosts; all others stay where they
-// are while another leader is elected: moved as well, hundreds of entries would ask the
-// hosts for everything just when these have an election to hold.
-func TestEntriesStayThroughAChangeOfLeader(t *testing.T) {
+// The leader loses power. Its own entries subscribe to other hosts; all others must stay
+// subscribed while another leader is elected. If they moved as well, hundreds of entries
+// would request the full state from the hosts during the election.
+func TestEntriesStaySubscribedThroughALeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := treeSite(t, 12, 12)
-		defer s.close()
-		lost := s.leader()
+		d := newSettledDeployment(t, 12, 12)
+		defer d.close()
+		lost := d.leader()
 		before := map[*role.Entry]string{}
-		for _, e := range s.entries {
-			before[e] = e.Attends()
+		for _, e := range d.entries {
+			before[e] = e.ControlHost()
 		}
-		s.powerOff(lost)
-		for began := time.Now(); time.Since(began) < 6*time.Second; time.Sleep(20 * time.Millisecond) {
-			for _, e := range s.entries {
+		d.powerOff(lost)
+		for start := time.Now(); time.Since(start) < 6*time.Second; time.Sleep(20 * time.Millisecond) {
+			for _, e := range d.entries {
 				if before[e] != lost {
-					require.Equal(t, before[e], e.Attends())
+					require.Equal(t, before[e], e.ControlHost())
 				}
 			}
 		}
-		require.NotEmpty(t, s.leader())
-		require.Zero(t, s.attended()[lost])
-		require.Zero(t, s.attended()[""])
+		require.NotEmpty(t, d.leader())
+		require.Zero(t, d.subscriberCounts()[lost])
+		require.Zero(t, d.subscriberCounts()[""])
 	})
 }
 
-// A control host is cut off from the others, or loses power, while its entries are told
-// nothing. Operators change the configuration; the entries of the lost host must have each
-// change within its time, from another host. In some rounds the host is cut off in one
-// direction only, so that it hears the leader and is not heard, or the other way about.
-func TestEntriesOfALostHostHaveChangesInTime(t *testing.T) {
-	for shape, name := range []string{"cut off", "heard only", "hears only", "without power"} {
+// A control host is partitioned from the others, or loses power, and its entries receive no
+// updates. Operators change the configuration; the entries of the lost host must receive
+// each change in time from another host. In two of the cases the partition is one-way: the
+// host receives from the leader but its messages are lost, or the reverse.
+func TestEntriesOfALostHostReceiveChangesInTime(t *testing.T) {
+	for shape, name := range []string{"partitioned", "sends only", "receives only", "without power"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := treeSite(t, 13, 12)
-				defer s.close()
-				lost := s.someFollower()
+				d := newSettledDeployment(t, 13, 12)
+				defer d.close()
+				lost := d.followerWithEntries()
 				switch shape {
 				case 3:
-					s.powerOff(lost)
+					d.powerOff(lost)
 				default:
 					for i := range 5 {
 						if other := controlIP(i); other != lost {
-							s.network.Cut(lost, other, shape != 1)
-							s.network.Cut(other, lost, shape != 2)
+							d.network.Cut(lost, other, shape != 1)
+							d.network.Cut(other, lost, shape != 2)
 						}
 					}
 				}
-				acked := map[uint64]time.Time{}
+				ackedAt := map[uint64]time.Time{}
 				for version := uint64(2); version < 14; version++ {
-					if s.put(version) != "" {
-						acked[version] = time.Now()
+					if d.put(version) != "" {
+						ackedAt[version] = time.Now()
 					}
 					time.Sleep(300 * time.Millisecond)
-					for v, at := range acked {
-						require.False(t, time.Since(at) > inForce && s.oldest() < v, "version %d, acknowledged %s ago", v, time.Since(at))
+					for v, at := range ackedAt {
+						require.False(t, time.Since(at) > propagationLimit && d.oldestVersion() < v, "version %d, acknowledged %s ago", v, time.Since(at))
 					}
 				}
-				require.NotEmpty(t, acked)
-				s.await(inForce, "the newest configuration", func() bool { return s.oldest() == 13 })
-				require.Zero(t, s.attended()[lost])
+				require.NotEmpty(t, ackedAt)
+				d.await(propagationLimit, "the newest configuration", func() bool { return d.oldestVersion() == 13 })
+				require.Zero(t, d.subscriberCounts()[lost])
 			})
 		})
 	}
 }
 
-// The control hosts are cut in two, the leader with three others on the smaller side;
-// entries reach all of them. The larger side elects a leader and acknowledges changes. An
-// entry that attended a host of the smaller side must have them in time: if each host there
-// that it asks next kept it waiting for a leader, it would be told of none for seconds.
-func TestEntriesLeaveTheSideWithoutALeader(t *testing.T) {
+// The control hosts are partitioned in two, the leader with three others on the smaller
+// side; entries reach all hosts. The larger side elects a leader and acknowledges changes.
+// An entry subscribed to a host on the smaller side must receive them in time: if each host
+// there that it tries next made it wait for a leader, it would receive nothing for seconds.
+func TestEntriesLeaveAMinorityPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := treeSiteOf(t, 16, 9, 18)
-		defer s.close()
-		small := []string{s.leader()}
-		for ip := range s.control {
-			if len(small) < 4 && ip != small[0] {
-				small = append(small, ip)
+		d := newSettledDeploymentOf(t, 16, 9, 18)
+		defer d.close()
+		minority := []string{d.leader()}
+		for ip := range d.control {
+			if len(minority) < 4 && ip != minority[0] {
+				minority = append(minority, ip)
 			}
 		}
-		for ip := range s.control {
-			for _, other := range small {
-				if !slices.Contains(small, ip) {
-					s.network.Cut(ip, other, true)
-					s.network.Cut(other, ip, true)
+		for ip := range d.control {
+			for _, other := range minority {
+				if !slices.Contains(minority, ip) {
+					d.network.Cut(ip, other, true)
+					d.network.Cut(other, ip, true)
 				}
 			}
 		}
-		acked := map[uint64]time.Time{}
+		ackedAt := map[uint64]time.Time{}
 		for version := uint64(2); version < 18; version++ {
-			if s.put(version) != "" {
-				acked[version] = time.Now()
+			if d.put(version) != "" {
+				ackedAt[version] = time.Now()
 			}
-			for began := time.Now(); time.Since(began) < 400*time.Millisecond; time.Sleep(20 * time.Millisecond) {
-				for v, at := range acked {
-					require.False(t, time.Since(at) > inForce && s.oldest() < v, "version %d, acknowledged %s ago; %v", v, time.Since(at), s.attended())
+			for start := time.Now(); time.Since(start) < 400*time.Millisecond; time.Sleep(20 * time.Millisecond) {
+				for v, at := range ackedAt {
+					require.False(t, time.Since(at) > propagationLimit && d.oldestVersion() < v, "version %d, acknowledged %s ago; %v", v, time.Since(at), d.subscriberCounts())
 				}
 			}
 		}
-		require.NotEmpty(t, acked)
-		for _, ip := range small {
-			require.Zero(t, s.attended()[ip])
+		require.NotEmpty(t, ackedAt)
+		for _, ip := range minority {
+			require.Zero(t, d.subscriberCounts()[ip])
 		}
 	})
 }
 
-// A server says that it leaves, to a leader that most entries do not attend. Once that is
-// acknowledged no entry sends it anything: each has taken the word, over its own host.
+// A server sends its departure to a leader that most entries don't subscribe to. Once the
+// departure is acknowledged, no entry may send the server requests: each has acknowledged
+// it through its own host.
 func TestDepartureIsKnownAtEveryEntryOnceAcknowledged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := treeSite(t, 14, 12)
-		defer s.close()
-		leader := s.control[s.leader()]
+		d := newSettledDeployment(t, 14, 12)
+		defer d.close()
+		leader := d.control[d.leader()]
 		require.NoError(t, leader.PutConfiguration(context.Background(), &schema.PutConfiguration{
 			Configuration: &schema.Configuration{Version: 2}, Pools: []*schema.Pool{{Name: "app"}},
 		}))
@@ -185,127 +188,128 @@
 			id := fmt.Sprint("i-", i)
 			require.NoError(t, leader.Announce(context.Background(), roster.Announcement{ID: id, Pool: "app", Address: fmt.Sprint("10.9.9.9:", i+1), Slots: 1, Sequence: 1}))
 		}
-		known := func() (least, most int) {
+		knownServers := func() (least, most int) {
 			least = 99
-			for _, e := range s.entries {
+			for _, e := range d.entries {
 				least, most = min(least, e.Servers()), max(most, e.Servers())
 			}
 			return least, most
 		}
-		s.await(time.Second, "four servers known", func() bool { least, _ := known(); return least == 4 })
+		d.await(time.Second, "four servers known", func() bool { least, _ := knownServers(); return least == 4 })
 		require.NoError(t, leader.Depart(context.Background(), "i-unheard"))
 		for i := range 4 {
 			require.NoError(t, leader.Depart(context.Background(), fmt.Sprint("i-", i)))
-			for ip, e := range s.entries {
+			for ip, e := range d.entries {
 				require.Equal(t, 3-i, e.ReadyServers(), ip)
 			}
 		}
 	})
 }
 
-// The disk of a control host stalls for ten seconds: it hears the leader, and its log stands
-// still. Its entries must have what operators change meanwhile, and operators must be
-// answered: after a moment the host sends its entries elsewhere, and nobody waits for it.
-// When its disk goes on it takes entries again.
-func TestStalledDiskHoldsNobodyUp(t *testing.T) {
+// The disk of a control host stalls for ten seconds: the host receives from the leader, but
+// its log does not advance. Its entries must receive changes made meanwhile, and operators
+// must be acknowledged: after a moment the host redirects its entries, and the leader no
+// longer waits for it. When its disk continues, it accepts entries again.
+func TestStalledDiskDelaysNoAcknowledgement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := treeSite(t, 17, 12)
-		defer s.close()
-		host := s.someFollower()
-		s.stall(host, 10*time.Second)
-		began, acked := time.Now(), map[uint64]time.Time{}
-		for version := uint64(2); time.Since(began) < 9*time.Second; version++ {
-			asked := time.Now()
-			s.await(3*time.Second, "an acknowledgement", func() bool { return s.put(version) != "" })
-			acked[version] = time.Now()
-			if time.Since(began) > 4*time.Second {
-				require.Less(t, time.Since(asked), time.Second)
-				require.Zero(t, s.attended()[host])
+		d := newSettledDeployment(t, 17, 12)
+		defer d.close()
+		host := d.followerWithEntries()
+		d.stall(host, 10*time.Second)
+		start, ackedAt := time.Now(), map[uint64]time.Time{}
+		for version := uint64(2); time.Since(start) < 9*time.Second; version++ {
+			putStart := time.Now()
+			d.await(3*time.Second, "an acknowledgement", func() bool { return d.put(version) != "" })
+			ackedAt[version] = time.Now()
+			if time.Since(start) > 4*time.Second {
+				require.Less(t, time.Since(putStart), time.Second)
+				require.Zero(t, d.subscriberCounts()[host])
 			}
 			time.Sleep(200 * time.Millisecond)
-			for v, at := range acked {
-				require.False(t, time.Since(at) > inForce && s.oldest() < v, "version %d", v)
+			for v, at := range ackedAt {
+				require.False(t, time.Since(at) > propagationLimit && d.oldestVersion() < v, "version %d", v)
 			}
 		}
-		s.await(10*time.Second, "entries at the host again", func() bool { return s.attended()[host] > 0 })
+		d.await(10*time.Second, "entries at the host again", func() bool { return d.subscriberCounts()[host] > 0 })
 	})
 }
 
-// A control host's disk is slow: it follows the leader, and its log lags. For a second that
-// is let pass, as logs lag by a moment all the time; then its entries must go elsewhere. It
-// counts again once it has what the leader had when it began to lag.
-func TestHostWhoseLogLags(t *testing.T) {
+// A control host's disk is slow: it follows the leader, and its log lags. For 1 s that is
+// tolerated, as logs lag briefly all the time; then its entries must subscribe elsewhere.
+// It counts as caught up once it has what the leader had when it started to lag.
+func TestLagDetector(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &role.Lag{}
-		require.False(t, l.Holds(0, 0))
-		require.False(t, l.Holds(5, 7))
+		detector := &role.LagDetector{}
+		require.False(t, detector.Exceeded(0, 0))
+		require.False(t, detector.Exceeded(5, 7))
 		time.Sleep(900 * time.Millisecond)
-		require.False(t, l.Holds(6, 20))
+		require.False(t, detector.Exceeded(6, 20))
 		time.Sleep(200 * time.Millisecond)
-		require.True(t, l.Holds(6, 21))
-		require.False(t, l.Holds(7, 21))
-		// It lags behind the next entries, and not by a second yet.
+		require.True(t, detector.Exceeded(6, 21))
+		require.False(t, detector.Exceeded(7, 21))
+		// It lags behind the next log entries, but not for 1 s yet.
 		time.Sleep(900 * time.Millisecond)
-		require.False(t, l.Holds(20, 40))
-		require.False(t, l.Holds(21, 40))
+		require.False(t, detector.Exceeded(20, 40))
+		require.False(t, detector.Exceeded(21, 40))
 		time.Sleep(900 * time.Millisecond)
-		require.False(t, l.Holds(40, 60))
+		require.False(t, detector.Exceeded(40, 60))
 	})
 }
 
-// The leader is cut off from most control hosts and, with three others, not from its
-// entries. It goes on for a second before it notices. Changes can be acknowledged on the
-// larger side as soon as an election is over there, 0.6 s after the cut, and must then be in
-// force within two seconds: by then no entry may be told by the smaller side any more. If
-// what the old leader says in that second counted as news, entries would stay a second longer.
+// The leader and three others are partitioned from the majority of control hosts, but not
+// from their entries. The leader continues for a second before it notices. The larger side
+// can acknowledge changes as soon as its election is over, 0.6 s after the partition, and
+// these must be in force within 2 s: by then no entry may be subscribed to the smaller
+// side. If the old leader's updates in that second counted as fresh, entries would stay a
+// second longer.
 func TestEntriesLeaveALeaderWithoutAQuorum(t *testing.T) {
 	const electionOver = 600 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		s := treeSiteOf(t, 17, 9, 18)
-		defer s.close()
-		small := []string{s.leader()}
-		for _, ip := range s.controlIPs() {
-			if len(small) < 4 && ip != small[0] {
-				small = append(small, ip)
+		d := newSettledDeploymentOf(t, 17, 9, 18)
+		defer d.close()
+		minority := []string{d.leader()}
+		for _, ip := range d.controlIPs() {
+			if len(minority) < 4 && ip != minority[0] {
+				minority = append(minority, ip)
 			}
 		}
-		for ip := range s.control {
-			for _, other := range small {
-				if !slices.Contains(small, ip) {
-					s.network.Cut(ip, other, true)
-					s.network.Cut(other, ip, true)
+		for ip := range d.control {
+			for _, other := range minority {
+				if !slices.Contains(minority, ip) {
+					d.network.Cut(ip, other, true)
+					d.network.Cut(other, ip, true)
 				}
 			}
 		}
-		time.Sleep(electionOver + inForce)
-		for ip, n := range s.attended() {
-			require.False(t, ip == "" || slices.Contains(small, ip), "%d entries attend %q, of %v", n, ip, small)
+		time.Sleep(electionOver + propagationLimit)
+		for ip, n := range d.subscriberCounts() {
+			require.False(t, ip == "" || slices.Contains(minority, ip), "%d entries subscribe to %q, of %v", n, ip, minority)
 		}
 	})
 }
 
-// Servers announce themselves to hosts that do not lead. Entries know them all the same,
-// and go on knowing them when the leader is lost: the next one hears of each server at
-// once from the hosts that have its word. Somebody else's word of a server without its
-// start is refused there as well, and one that leaves is sent to the leader, who alone can
-// promise that all entries know.
+// Servers announce themselves to hosts that do not lead. Entries must know them all the
+// same, also after the leader is lost: the next leader receives each server's announcement
+// at once from the hosts that have it. A foreign announcement of a server without its
+// incarnation must be refused there as well, and a departure must be redirected to the
+// leader, which alone can guarantee that all entries know it.
 func TestServersAnnounceThemselvesToAnyHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := treeSite(t, 15, 8)
-		defer s.close()
-		leader := s.leader()
-		require.NoError(t, s.control[leader].PutConfiguration(context.Background(), &schema.PutConfiguration{
+		d := newSettledDeployment(t, 15, 8)
+		defer d.close()
+		leader := d.leader()
+		require.NoError(t, d.control[leader].PutConfiguration(context.Background(), &schema.PutConfiguration{
 			Configuration: &schema.Configuration{Version: 2}, Pools: []*schema.Pool{{Name: "app"}},
 		}))
-		host := s.control[s.someFollower()]
-		word := func(i int, sequence uint64) roster.Announcement {
+		host := d.control[d.followerWithEntries()]
+		announcement := func(i int, sequence uint64) roster.Announcement {
 			return roster.Announcement{
 				ID: fmt.Sprintf("i-%d@1784556072000", i), Pool: "app", Address: fmt.Sprint("10.9.9.9:", i+1), Slots: 1, Sequence: sequence,
 			}
 		}
-		all := func(n int) func() bool {
+		allKnow := func(n int) func() bool {
 			return func() bool {
-				for _, e := range s.entries {
+				for _, e := range d.entries {
 					if e.ReadyServers() != n {
 						return false
 					}
@@ -313,32 +317,32 @@
 				return true
 			}
 		}
-		s.await(time.Second, "the pool's configuration", func() bool { return host.Announce(context.Background(), word(0, 1)) == nil })
+		d.await(time.Second, "the pool's configuration", func() bool { return host.Announce(context.Background(), announcement(0, 1)) == nil })
 		for i := range 5 {
-			require.NoError(t, host.Announce(context.Background(), word(i, 2)))
+			require.NoError(t, host.Announce(context.Background(), announcement(i, 2)))
 		}
-		s.await(200*time.Millisecond, "five servers", all(5))
-		foreign := word(0, 9)
+		d.await(200*time.Millisecond, "five servers", allKnow(5))
+		foreign := announcement(0, 9)
 		foreign.ID = "i-0"
 		require.ErrorIs(t, host.Announce(context.Background(), foreign), role.ErrNoIncarnation)
-		leaving := word(4, 3)
+		leaving := announcement(4, 3)
 		leaving.Leaving = true
-		var elsewhere *role.NotLeaderError
-		require.ErrorAs(t, host.Announce(context.Background(), leaving), &elsewhere)
-		require.NoError(t, s.control[leader].Announce(context.Background(), leaving))
-		require.True(t, all(4)())
-		require.NoError(t, host.Announce(context.Background(), word(3, 3)))
+		var notLeader *role.NotLeaderError
+		require.ErrorAs(t, host.Announce(context.Background(), leaving), &notLeader)
+		require.NoError(t, d.control[leader].Announce(context.Background(), leaving))
+		require.True(t, allKnow(4)())
+		require.NoError(t, host.Announce(context.Background(), announcement(3, 3)))
 
-		s.powerOff(leader)
-		s.await(3*time.Second, "another leader", func() bool { return s.leader() != "" })
+		d.powerOff(leader)
+		d.await(3*time.Second, "another leader", func() bool { return d.leader() != "" })
 		for i := range 20 {
-			require.True(t, all(4)(), i)
+			require.True(t, allKnow(4)(), i)
 			time.Sleep(100 * time.Millisecond)
 		}
-		// The server that had left says once more that it is there, to a host that the
-		// leader before had not told.
-		_ = host.Announce(context.Background(), word(4, 4))
+		// The server that departed announces itself once more, to a host that the previous
+		// leader had not updated.
+		_ = host.Announce(context.Background(), announcement(4, 4))
 		time.Sleep(time.Second)
-		require.True(t, all(4)())
+		require.True(t, allKnow(4)())
 	})
 }
--- a/internal/role/withheld.go
+++ b/internal/role/withheld.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// withholdFor is for how long acknowledgements of configurations are withheld while
-// entries that speak do not have them. An entry that has fallen silent counts as such
-// after 1.2 s, and operators are promised an answer within four.
-const withholdFor = 3 * time.Second
+// maxWithholdTime bounds how long acknowledgements of configurations are withheld while
+// entries that are not silent are missing them. An entry counts as silent after 1.2 s, and
+// operators are guaranteed a response within 4 s.
+const maxWithholdTime = 3 * time.Second
 
-// withheld tells whether acknowledgements are withheld. A leader was seen to acknowledge
-// 1,480 new routes while none of 68 entries had them, to lose its lead over the words to
-// them, and callers to be refused on these routes 2.6 s later. The zero value is ready
-// for use.
-type withheld struct {
+// ackGate withholds acknowledgements while entries are behind. Without it a leader
+// acknowledged 1,480 new routes that none of 68 entries had, lost its leadership while it
+// was sending the updates, and callers were refused on these routes 2.6 s later. The zero
+// value is ready to use.
+type ackGate struct {
 	mu sync.Mutex
-	// behind is since when entries have been behind, the zero value while none is;
-	// guarded by mu.
-	behind time.Time
+	// behindSince is when entries fell behind, or the zero time while none is; guarded by
+	// mu.
+	behindSince time.Time
 }
 
-// hold notes whether entries are behind, and returns whether to withhold the
-// acknowledgement. An entry that speaks and takes nothing does not keep operators
-// waiting for good.
-func (w *withheld) hold(untold error) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if untold == nil {
-		w.behind = time.Time{}
+// withhold records whether entries are behind, and reports whether to withhold the
+// acknowledgement. An entry that reports but never applies a change must not block
+// operators forever.
+func (g *ackGate) withhold(ackErr error) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if ackErr == nil {
+		g.behindSince = time.Time{}
 		return false
 	}
-	if w.behind.IsZero() {
-		w.behind = time.Now()
+	if g.behindSince.IsZero() {
+		g.behindSince = time.Now()
 	}
-	return time.Since(w.behind) < withholdFor
+	return time.Since(g.behindSince) < maxWithholdTime
 }
