--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -1,7 +1,8 @@
-// Package subscription is what a control host knows of the entries that attend it: which
-// there are, what they are asked for, what they have at the engines and how far they have
-// been told. The leader is told the sum, in one word for all of them: told one by one, 291
-// entries cost a leader of a quarter of a core more than all else that it did.
+// Package subscription is the registry of the entries that subscribe to a control host:
+// their demand, their loads at the engines, and how far they have acknowledged updates. The
+// host reports the sums to the leader, in one report for all entries: 291 entries that
+// reported one by one cost a leader with a quarter of a core more CPU time than all of its
+// other work.
 package subscription
 
 import (
@@ -19,14 +20,16 @@
 	"fennelyard/internal/schema"
 )
 
-// SilenceTimeout is how long an entry may say nothing before callers are no longer sent to it.
-// Entries speak every 300 ms; a frozen one says nothing while its connections stay open.
+// SilenceTimeout is how long an entry may send no report before callers are no longer sent
+// to it. Entries send a report every 300 ms; a frozen entry sends none while its
+// connections stay open.
 const SilenceTimeout = 1200 * time.Millisecond
 
-// behindMost is how many of the entries that are told no further than others are named.
-const behindMost = 4
+// maxBehindNames bounds how many of the entries that are furthest behind are named in a
+// report.
+const maxBehindNames = 4
 
-// Config configures Entries. All fields are required.
+// Config configures a Registry. All fields are required.
 type Config struct {
 	Now func() time.Time
 	// QuotaWindow is the window over which teams' quotas are counted.
@@ -34,172 +37,178 @@
 	Log         logr.Logger
 }
 
-// Registry are the entries that attend a control host. All methods are safe from any
-// goroutine.
+// Registry contains the entries subscribed to a control host. All methods are safe for
+// concurrent use.
 type Registry struct {
 	cfg Config
-	// uses are what the entries admitted of the teams' quotas.
+	// uses are the entries' uses of teams' quotas.
 	uses *quota.Totals
-	// urgent holds a token while the leader should be told soon.
-	urgent chan struct{}
+	// reportRequested contains a token while a report to the leader is due at once.
+	reportRequested chan struct{}
 
 	mu sync.Mutex
-	// entries are by the entry's host; guarded by mu, as all below.
-	entries map[string]*attendee
-	// waiting is how many requests wait for each target at all entries that speak.
+	// subscriptions are by the entry's host name; guarded by mu, as all below.
+	subscriptions map[string]*subscription
+	// waiting is the number of requests that wait for each target at all entries that are
+	// not silent.
 	waiting map[target]uint32
-	// since is what was asked for since the last word to the leader, and said the
-	// targets whose waiting requests it has been told of.
-	since map[target]*schema.ModelDemand
-	said  map[target]bool
-	// loads is what all entries that speak have at the engines.
-	loads map[string]*engineLoad
-	// listed is set while the leader knows the list of entries as it is.
-	listed bool
-	// confirm is how far the entries were told by a word that somebody may wait for.
-	confirm Progress
+	// demandSums is the demand since the last report to the leader, and reportedWaiting the
+	// targets that the last report had waiting requests for.
+	demandSums      map[target]*schema.ModelDemand
+	reportedWaiting map[target]bool
+	// loads are the sums of the engine loads of all entries that are not silent.
+	loads map[string]*loadSum
+	// listReported is set while the leader has the current list of entries.
+	listReported bool
+	// expectedAck is the progress of the furthest update whose acknowledgement a pending
+	// change may wait for.
+	expectedAck Progress
 }
 
-// attendee is one entry's stream.
-type attendee struct {
+// subscription is the stream of one entry.
+type subscription struct {
 	entry *schema.RosterEntry
-	// start names the start of the entry: what it admitted before it restarted still counts.
-	start string
-	// stream tells its newer stream to this host from an older one that ends late, and
-	// number is the entry's own count, over all hosts.
+	// incarnation identifies the entry's process: quota use from before a restart still
+	// counts.
+	incarnation string
+	// stream distinguishes the entry's newest stream to this host from an older one that
+	// ends late, and number is the entry's own count of its streams to all hosts.
 	stream, number uint64
 	stopping       bool
 	silent         bool
-	heard          time.Time
+	lastReceived   time.Time
 	loads          []*schema.EngineLoad
 	waiting        map[target]uint32
-	// told is how far the entry has been told, by its own word.
-	told Progress
+	// acked is how far the entry has acknowledged updates.
+	acked Progress
 }
 
-// engineLoad is the sum of what entries have at an engine.
-type engineLoad struct {
+// loadSum is the sum of the entries' loads at an engine.
+type loadSum struct {
 	running, unread uint32
-	// models counts the entries that have requests for a model, or for an adapter of one.
+	// models counts the entries that have requests for a model or one of its adapters.
 	models map[string]int
 }
 
 // target names a model, or an adapter of it.
 type target struct{ pool, model, adapter string }
 
-// Progress is how far an entry, or a host with all of its entries, has been told.
+// Progress is how far an entry, or a host with all of its entries, has received updates.
 type Progress struct {
-	// Known is of the leader's roster, Revision of the log.
+	// Known is the position in the leader's roster, Revision the one in the log.
 	Known    roster.Position
 	Revision uint64
 }
 
-// reaches reports whether all of far has been told.
-func (t Progress) reaches(far Progress) bool {
-	return !t.Known.Before(far.Known) && t.Revision >= far.Revision
+// reaches reports whether t is at least as far as other.
+func (t Progress) reaches(other Progress) bool {
+	return !t.Known.Before(other.Known) && t.Revision >= other.Revision
 }
 
-// New returns a registry without entries.
+// New returns an empty registry.
 func New(cfg Config) *Registry {
 	return &Registry{
-		cfg: cfg, uses: quota.NewTotals(cfg.QuotaWindow), urgent: make(chan struct{}, 1), entries: map[string]*attendee{}, waiting: map[target]uint32{},
-		since: map[target]*schema.ModelDemand{}, said: map[target]bool{}, loads: map[string]*engineLoad{},
+		cfg: cfg, uses: quota.NewTotals(cfg.QuotaWindow), reportRequested: make(chan struct{}, 1), subscriptions: map[string]*subscription{},
+		waiting:    map[target]uint32{},
+		demandSums: map[target]*schema.ModelDemand{}, reportedWaiting: map[target]bool{}, loads: map[string]*loadSum{},
 	}
 }
 
-// ReportRequested receives when the leader should be told at once: requests wait, or what somebody
-// may wait for has been told to all entries.
-func (e *Registry) ReportRequested() <-chan struct{} { return e.urgent }
+// ReportRequested receives when a report to the leader is due at once: new requests wait,
+// or all entries have acknowledged what a pending change may wait for.
+func (r *Registry) ReportRequested() <-chan struct{} { return r.reportRequested }
 
-// RequestReport has the leader told at once.
-func (e *Registry) RequestReport() {
+// RequestReport makes a report to the leader due at once.
+func (r *Registry) RequestReport() {
 	select {
-	case e.urgent <- struct{}{}:
+	case r.reportRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Subscribe notes that an entry speaks on a stream to this host; stream numbers grow, and
-// number is the entry's own.
-func (e *Registry) Subscribe(stream uint64, entry *schema.RosterEntry, number uint64) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if old := e.entries[entry.GetHost()]; old != nil {
-		e.empty(old)
-	}
-	e.entries[entry.GetHost()] = &attendee{entry: entry, stream: stream, number: number, heard: e.cfg.Now(), waiting: map[target]uint32{}}
-	e.listed = false
-	e.cfg.Log.Info("entry attends", "entry", entry.GetHost(), "address", entry.GetCallerAddress(), "attending", len(e.entries))
+// Subscribe adds an entry with its stream to this host. Stream numbers increase, and number
+// is the entry's own.
+func (r *Registry) Subscribe(stream uint64, entry *schema.RosterEntry, number uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if old := r.subscriptions[entry.GetHost()]; old != nil {
+		r.clearState(old)
+	}
+	r.subscriptions[entry.GetHost()] = &subscription{entry: entry, stream: stream, number: number, lastReceived: r.cfg.Now(), waiting: map[target]uint32{}}
+	r.listReported = false
+	r.cfg.Log.Info("entry attends", "entry", entry.GetHost(), "address", entry.GetCallerAddress(), "attending", len(r.subscriptions))
 }
 
-// present returns an entry if the stream is its newest; mu is held.
-func (e *Registry) present(stream uint64, host string) *attendee {
-	if a := e.entries[host]; a != nil && a.stream == stream {
-		return a
+// current returns the subscription of an entry if the stream is its newest, or nil; mu is
+// held.
+func (r *Registry) current(stream uint64, host string) *subscription {
+	if s := r.subscriptions[host]; s != nil && s.stream == stream {
+		return s
 	}
 	return nil
 }
 
-// HandleReport takes in an entry's word.
-func (e *Registry) HandleReport(stream uint64, host string, news *schema.EntryNews) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	a := e.present(stream, host)
-	if a == nil {
+// HandleReport applies an entry's report.
+func (r *Registry) HandleReport(stream uint64, host string, report *schema.EntryNews) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	s := r.current(stream, host)
+	if s == nil {
 		return
 	}
-	a.heard = e.cfg.Now()
-	if started := news.GetStartedMs(); started != 0 {
-		a.start = host + "/" + strconv.FormatUint(started, 10)
+	s.lastReceived = r.cfg.Now()
+	if started := report.GetStartedMs(); started != 0 {
+		s.incarnation = host + "/" + strconv.FormatUint(started, 10)
 	}
-	if a.stopping != news.GetStopping() || a.silent {
-		a.stopping, a.silent, e.listed = news.GetStopping(), false, false
-		e.cfg.Log.Info("entry state", "entry", host, "stopping", a.stopping, "silent", false)
-		e.RequestReport()
+	if s.stopping != report.GetStopping() || s.silent {
+		s.stopping, s.silent, r.listReported = report.GetStopping(), false, false
+		r.cfg.Log.Info("entry state", "entry", host, "stopping", s.stopping, "silent", false)
+		r.RequestReport()
 	}
-	if news.GetLoadsTold() {
-		e.load(a, news.GetLoads())
+	if report.GetLoadsTold() {
+		r.setLoads(s, report.GetLoads())
 	}
-	if u := news.GetTeamUses(); u != nil {
-		e.uses.Report(a.start, u, a.heard)
+	if uses := report.GetTeamUses(); uses != nil {
+		r.uses.Report(s.incarnation, uses, s.lastReceived)
 	}
-	for _, d := range news.GetDemands() {
-		e.demand(a, d)
+	for _, d := range report.GetDemands() {
+		r.addDemand(s, d)
 	}
 }
 
-// demand adds what an entry was asked for; mu is held.
-func (e *Registry) demand(a *attendee, d *schema.ModelDemand) {
+// addDemand adds an entry's demand; mu is held.
+func (r *Registry) addDemand(s *subscription, d *schema.ModelDemand) {
 	t := target{d.GetPool(), d.GetModel(), d.GetAdapter()}
-	sum := e.sum(t)
+	sum := r.demandSum(t)
 	sum.Arrived += d.GetArrived()
 	sum.ReadUs += d.GetReadUs()
 	sum.RanUs += d.GetRanUs()
-	before := e.waiting[t]
-	e.wait(a, t, d.GetWaiting())
+	before := r.waiting[t]
+	r.setWaiting(s, t, d.GetWaiting())
 	if before == 0 && d.GetWaiting() > 0 {
-		// More requests for what is waited for already are told with the next beat.
-		e.RequestReport()
+		// More requests for a target that is waited for already are reported at the next
+		// interval.
+		r.RequestReport()
 	}
 }
 
-// wait sets how many requests wait for a target at an entry; mu is held.
-func (e *Registry) wait(a *attendee, t target, n uint32) {
-	e.waiting[t] += n - a.waiting[t]
-	if e.waiting[t] == 0 {
-		delete(e.waiting, t)
+// setWaiting sets how many requests wait for a target at an entry; mu is held.
+func (r *Registry) setWaiting(s *subscription, t target, count uint32) {
+	r.waiting[t] += count - s.waiting[t]
+	if r.waiting[t] == 0 {
+		delete(r.waiting, t)
 	}
-	if n == 0 {
-		delete(a.waiting, t)
+	if count == 0 {
+		delete(s.waiting, t)
 	} else {
-		a.waiting[t] = n
+		s.waiting[t] = count
 	}
 }
 
-// load sets what an entry has at the engines; mu is held.
-func (e *Registry) load(a *attendee, loads []*schema.EngineLoad) {
-	for _, l := range a.loads {
-		sum := e.loads[l.GetServer()]
+// setLoads sets an entry's loads at the engines; mu is held.
+func (r *Registry) setLoads(s *subscription, loads []*schema.EngineLoad) {
+	for _, l := range s.loads {
+		sum := r.loads[l.GetServer()]
 		sum.running -= l.GetRunning()
 		sum.unread -= l.GetUnread()
 		for _, m := range l.GetModels() {
@@ -209,10 +218,10 @@
 		}
 	}
 	for _, l := range loads {
-		sum := e.loads[l.GetServer()]
+		sum := r.loads[l.GetServer()]
 		if sum == nil {
-			sum = &engineLoad{models: map[string]int{}}
-			e.loads[l.GetServer()] = sum
+			sum = &loadSum{models: map[string]int{}}
+			r.loads[l.GetServer()] = sum
 		}
 		sum.running += l.GetRunning()
 		sum.unread += l.GetUnread()
@@ -220,57 +229,58 @@
 			sum.models[m]++
 		}
 	}
-	a.loads = loads
+	s.loads = loads
 }
 
-// empty forgets what waits at an entry that has gone, and what it had at the engines: that
-// is not known to have ended, but nobody says so either. mu is held.
-func (e *Registry) empty(a *attendee) {
-	for t := range a.waiting {
-		e.wait(a, t, 0)
+// clearState removes the waiting requests and the loads of an entry that is gone. Its
+// requests at engines may still run, but nothing reports them any more. mu is held.
+func (r *Registry) clearState(s *subscription) {
+	for t := range s.waiting {
+		r.setWaiting(s, t, 0)
 	}
-	e.load(a, nil)
+	r.setLoads(s, nil)
 }
 
-// Acknowledge notes how far an entry says that it was told.
-func (e *Registry) Acknowledge(stream uint64, host string, far Progress) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	a := e.present(stream, host)
-	if a == nil {
+// Acknowledge records how far an entry has acknowledged updates.
+func (r *Registry) Acknowledge(stream uint64, host string, progress Progress) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	s := r.current(stream, host)
+	if s == nil {
 		return
 	}
-	lacked := !e.least().reaches(e.confirm)
-	a.told = far
-	if lacked && e.least().reaches(e.confirm) {
-		e.RequestReport()
+	pending := !r.leastAcked().reaches(r.expectedAck)
+	s.acked = progress
+	if pending && r.leastAcked().reaches(r.expectedAck) {
+		r.RequestReport()
 	}
 }
 
-// ExpectAck notes that somebody may wait until all entries have been told so far.
-func (e *Registry) ExpectAck(far Progress) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.confirm.Known.Before(far.Known) {
-		e.confirm.Known = far.Known
+// ExpectAck records that a pending change may wait until all entries have acknowledged this
+// progress.
+func (r *Registry) ExpectAck(progress Progress) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.expectedAck.Known.Before(progress.Known) {
+		r.expectedAck.Known = progress.Known
 	}
-	e.confirm.Revision = max(e.confirm.Revision, far.Revision)
+	r.expectedAck.Revision = max(r.expectedAck.Revision, progress.Revision)
 }
 
-// least is how far all entries that speak have been told; mu is held. With none it is
-// further than anything.
-func (e *Registry) least() Progress {
+// leastAcked returns how far all entries that are not silent have acknowledged updates; mu
+// is held. Without such entries it returns the maximum.
+func (r *Registry) leastAcked() Progress {
 	out := Progress{Known: roster.MaxPosition, Revision: ^uint64(0)}
-	for _, a := range e.entries {
-		if !a.silent {
-			out = out.least(a.told)
+	for _, s := range r.subscriptions {
+		if !s.silent {
+			out = out.min(s.acked)
 		}
 	}
 	return out
 }
 
-// least is how far both have been told.
-func (t Progress) least(u Progress) Progress {
+// min returns what both t and u have reached.
+func (t Progress) min(u Progress) Progress {
 	if u.Known.Before(t.Known) {
 		t.Known = u.Known
 	}
@@ -278,79 +288,79 @@
 	return t
 }
 
-// Count returns the number of entries that attend.
-func (e *Registry) Count() int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return len(e.entries)
+// Count returns the number of subscribed entries.
+func (r *Registry) Count() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.subscriptions)
 }
 
-// Unsubscribe notes the end of an entry's stream.
-func (e *Registry) Unsubscribe(stream uint64, host string) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	a := e.present(stream, host)
-	if a == nil {
+// Unsubscribe removes an entry when its stream ends.
+func (r *Registry) Unsubscribe(stream uint64, host string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	s := r.current(stream, host)
+	if s == nil {
 		return
 	}
-	e.empty(a)
-	delete(e.entries, host)
-	e.listed = false
-	e.cfg.Log.Info("entry left", "entry", host, "attending", len(e.entries))
-	e.RequestReport()
+	r.clearState(s)
+	delete(r.subscriptions, host)
+	r.listReported = false
+	r.cfg.Log.Info("entry left", "entry", host, "attending", len(r.subscriptions))
+	r.RequestReport()
 }
 
-// Sweep leaves out entries that have fallen silent.
-func (e *Registry) Sweep() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for host, a := range e.entries {
-		if a.silent || e.cfg.Now().Sub(a.heard) <= SilenceTimeout {
+// Sweep marks entries as silent that have sent no report for SilenceTimeout.
+func (r *Registry) Sweep() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for host, s := range r.subscriptions {
+		if s.silent || r.cfg.Now().Sub(s.lastReceived) <= SilenceTimeout {
 			continue
 		}
-		a.silent, e.listed = true, false
-		e.empty(a)
-		e.cfg.Log.Info("entry state", "entry", host, "stopping", a.stopping, "silent", true)
-		e.RequestReport()
+		s.silent, r.listReported = true, false
+		r.clearState(s)
+		r.cfg.Log.Info("entry state", "entry", host, "stopping", s.stopping, "silent", true)
+		r.RequestReport()
 	}
 }
 
-// ResetReported forgets what a leader was told: a word to another one begins with everything.
-func (e *Registry) ResetReported() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.listed = false
-	clear(e.said)
+// ResetReported forgets what was reported: the next report, to another leader, is complete.
+func (r *Registry) ResetReported() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.listReported = false
+	clear(r.reportedWaiting)
 }
 
-// NextReport returns the next word to the leader, of entries that are told by a host which
-// itself has been told so far; with loads also what they have at the engines.
-func (e *Registry) NextReport(own Progress, loads bool) *schema.HostNews {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	far := own.least(e.least())
-	news := &schema.HostNews{
-		Known: far.Known.Message(), Revision: far.Revision, Behind: e.behind(far, own), Demands: e.demands(),
+// NextReport returns the next report to the leader, where own is how far this host itself
+// has received updates. With loads it includes the entries' loads at the engines.
+func (r *Registry) NextReport(own Progress, loads bool) *schema.HostNews {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	acked := own.min(r.leastAcked())
+	report := &schema.HostNews{
+		Known: acked.Known.Message(), Revision: acked.Revision, Behind: r.entriesBehind(acked, own), Demands: r.takeDemands(),
 	}
 	if loads {
-		news.Loads, news.LoadsTold = e.engines(), true
-		news.TeamUses = e.uses.Sum(e.cfg.Now(), nil)
+		report.Loads, report.LoadsTold = r.engineLoads(), true
+		report.TeamUses = r.uses.Sum(r.cfg.Now(), nil)
 	}
-	if !e.listed {
-		news.Entries, news.EntriesTold, e.listed = e.list(), true, true
+	if !r.listReported {
+		report.Entries, report.EntriesTold, r.listReported = r.listEntries(), true, true
 	}
-	return news
+	return report
 }
 
-// behind names entries that hold back how far all are told; mu is held.
-func (e *Registry) behind(far, own Progress) []string {
-	if far == own {
+// entriesBehind names entries that limit the reported progress; mu is held.
+func (r *Registry) entriesBehind(acked, own Progress) []string {
+	if acked == own {
 		return nil
 	}
 	var out []string
-	for host, a := range e.entries {
-		if !a.silent && len(out) < behindMost && (a.told.Known == far.Known && far.Known.Before(own.Known) ||
-			a.told.Revision == far.Revision && far.Revision < own.Revision) {
+	for host, s := range r.subscriptions {
+		if !s.silent && len(out) < maxBehindNames && (s.acked.Known == acked.Known && acked.Known.Before(own.Known) ||
+			s.acked.Revision == acked.Revision && acked.Revision < own.Revision) {
 			out = append(out, host)
 		}
 	}
@@ -358,43 +368,44 @@
 	return out
 }
 
-// demands is what the leader does not know yet. What waits is said each time, what no
-// longer waits once; mu is held.
-func (e *Registry) demands() []*schema.ModelDemand {
-	for t := range e.waiting {
-		e.sum(t)
+// takeDemands returns the demand that was not reported yet. Waiting requests are reported
+// each time, and their end once; mu is held.
+func (r *Registry) takeDemands() []*schema.ModelDemand {
+	for t := range r.waiting {
+		r.demandSum(t)
 	}
-	for t := range e.said {
-		e.sum(t)
+	for t := range r.reportedWaiting {
+		r.demandSum(t)
 	}
-	out := make([]*schema.ModelDemand, 0, len(e.since))
-	clear(e.said)
-	for t, d := range e.since {
-		if d.Waiting = e.waiting[t]; d.Waiting > 0 {
-			e.said[t] = true
+	out := make([]*schema.ModelDemand, 0, len(r.demandSums))
+	clear(r.reportedWaiting)
+	for t, d := range r.demandSums {
+		if d.Waiting = r.waiting[t]; d.Waiting > 0 {
+			r.reportedWaiting[t] = true
 		}
 		out = append(out, d)
 	}
-	clear(e.since)
+	clear(r.demandSums)
 	return out
 }
 
-// sum returns what was asked for of a target since the last word; mu is held.
-func (e *Registry) sum(t target) *schema.ModelDemand {
-	d := e.since[t]
+// demandSum returns the demand for a target since the last report; mu is held.
+func (r *Registry) demandSum(t target) *schema.ModelDemand {
+	d := r.demandSums[t]
 	if d == nil {
 		d = &schema.ModelDemand{Pool: t.pool, Model: t.model, Adapter: t.adapter}
-		e.since[t] = d
+		r.demandSums[t] = d
 	}
 	return d
 }
 
-// engines is what all entries that speak have at the engines; mu is held.
-func (e *Registry) engines() []*schema.EngineLoad {
-	out := make([]*schema.EngineLoad, 0, len(e.loads))
-	for id, sum := range e.loads {
+// engineLoads returns the loads at the engines of all entries that are not silent; mu is
+// held.
+func (r *Registry) engineLoads() []*schema.EngineLoad {
+	out := make([]*schema.EngineLoad, 0, len(r.loads))
+	for id, sum := range r.loads {
 		if sum.running == 0 && sum.unread == 0 && len(sum.models) == 0 {
-			delete(e.loads, id)
+			delete(r.loads, id)
 			continue
 		}
 		out = append(out, &schema.EngineLoad{
@@ -404,10 +415,10 @@
 	return out
 }
 
-// list is every entry that speaks; mu is held.
-func (e *Registry) list() []*schema.AttendingEntry {
+// listEntries returns all entries that are not silent; mu is held.
+func (r *Registry) listEntries() []*schema.AttendingEntry {
 	out := []*schema.AttendingEntry{}
-	for _, a := range e.entries {
+	for _, a := range r.subscriptions {
 		if !a.silent {
 			out = append(out, &schema.AttendingEntry{Entry: a.entry, Stopping: a.stopping, Stream: a.number})
 		}
