--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -11,7 +11,7 @@
 
 //go:generate go tool stringer -type=Role -trimprefix=Role
 
-// Role is what a member does in its term.
+// Role is a member's Raft role in its current term.
 type Role int
 
 // The roles of a member.
@@ -22,37 +22,41 @@
 	RoleLeader
 )
 
-// Errors that a proposal or a read can meet.
+// Errors returned by proposals and reads.
 var (
-	// ErrNotLeader says that another member must be asked.
+	// ErrNotLeader is returned by members that are not the leader; the caller
+	// must send the request to another member.
 	ErrNotLeader = errors.New("not the leader")
-	// ErrBusy says that too much is uncommitted; nothing was appended.
+	// ErrBusy is returned when the size of uncommitted proposals exceeds its
+	// limit. The command was not appended.
 	ErrBusy = errors.New("too much is uncommitted")
-	// ErrChangePending says that a membership change is not committed yet.
+	// ErrChangePending is returned while an earlier membership change is not
+	// committed.
 	ErrChangePending = errors.New("a membership change is pending")
-	// ErrNoCommitInTerm says that the leader has committed nothing in its term.
+	// ErrNoCommitInTerm is returned while the leader has not committed an entry of
+	// its own term.
 	ErrNoCommitInTerm = errors.New("the leader has not committed in its term yet")
 )
 
 const (
-	entryOverhead         = 32
-	defaultElectionTicks  = 10
-	defaultHeartbeatTicks = 1
-	defaultAppendBytes    = 512 << 10
-	defaultInflight       = 64
-	defaultUncommitted    = 16 << 20
-	// A member that does not answer for this many election timeouts while a
-	// snapshot is on its way is probed anew, or a lost snapshot would leave it
-	// behind for ever.
-	snapshotPatience = 10
+	entryOverhead           = 32
+	defaultElectionTicks    = 10
+	defaultHeartbeatTicks   = 1
+	defaultAppendBytes      = 512 << 10
+	defaultInflight         = 64
+	defaultUncommittedBytes = 16 << 20
+	// snapshotTimeoutElections is the number of election timeouts without
+	// progress after which a member that was sent a snapshot is probed again.
+	// Otherwise a lost snapshot would stall the member forever.
+	snapshotTimeoutElections = 10
 )
 
-// Saved is what a member's disk held when it started.
+// Saved is the state that a member loads from its disk when it starts.
 type Saved struct {
 	HardState *schema.HardState
 	// Snapshot carries index, term and membership; Data may be empty.
 	Snapshot *schema.SnapshotState
-	// Entries follow the snapshot without a gap.
+	// Entries are contiguous and begin directly after the snapshot.
 	Entries []*schema.LogEntry
 }
 
@@ -61,14 +65,16 @@
 	// ID is the member's own id, never 0.
 	ID    uint64
 	Saved Saved
-	// ElectionTicks is the shortest time without a leader before an election.
+	// ElectionTicks is the shortest election timeout in ticks.
 	ElectionTicks int
-	// HeartbeatTicks is the time between heartbeats, well below ElectionTicks.
+	// HeartbeatTicks is the interval between heartbeats in ticks. It must be
+	// well below ElectionTicks.
 	HeartbeatTicks int
-	// Random returns a number from 0 to below n; it spreads the elections.
+	// Random returns a number in [0, n). It randomizes the election timeouts.
 	Random func(n int) int
-	// AppendBytes bounds the entries of one message, Inflight the unanswered
-	// messages per member, UncommittedBytes the proposals that wait.
+	// AppendBytes bounds the size of the entries of one message, Inflight the
+	// number of unacknowledged append messages per member, and UncommittedBytes
+	// the size of the proposals that are not committed.
 	AppendBytes      int
 	Inflight         int
 	UncommittedBytes int
@@ -76,28 +82,27 @@
 
 // ReadState is a read confirmed by a quorum.
 type ReadState struct {
-	// ID is the caller's number for the read.
+	// ID is the number that the caller passed to Read.
 	ID uint64
-	// Index is the commit index that the read must see applied.
+	// Index is the commit index that must be applied before the read is served.
 	Index uint64
 }
 
-// Ready is work for the caller, to be done in the order of the fields: store
-// and sync, send, apply.
+// Ready is pending work for the caller, to be done in the order of the fields:
+// store and sync, send, apply.
 type Ready struct {
 	// HardState is nil when term and vote are unchanged and no entry is stored.
 	HardState *schema.HardState
 	// Snapshot replaces the stored log and the state machine.
 	Snapshot *schema.SnapshotState
-	// Entries are stored after everything from the first one's index on is
-	// dropped.
+	// Entries replace all stored entries from the index of the first one on.
 	Entries []*schema.LogEntry
-	// Messages leave only after the fields above are synced. A snapshot message
-	// has no data yet; the caller fills in its latest stored snapshot.
+	// Messages must be sent only after the fields above are synced. A snapshot
+	// message has no data; the caller fills in its latest stored snapshot.
 	Messages []*schema.ConsensusMessage
-	// Committed are applied in order.
+	// Committed entries are applied in order.
 	Committed []*schema.LogEntry
-	// Reads are answered once their index is applied.
+	// Reads are served once their index is applied.
 	Reads []ReadState
 }
 
@@ -107,54 +112,57 @@
 	round uint64
 }
 
-// Core is one member's consensus state. It is not safe for several goroutines.
+// Core is the consensus state of one member. It is not safe for concurrent use.
 type Core struct {
 	cfg  CoreConfig
 	role Role
 	// term never decreases.
 	term uint64
-	// vote is the candidate that got this member's vote in term, or 0.
+	// vote is the candidate that this member voted for in term, or 0.
 	vote uint64
-	// leader is the leader of term as far as known, or 0.
+	// leader is the known leader of term, or 0.
 	leader uint64
 	log    *memoryLog
-	// persisted is the highest index on this member's own disk.
+	// persisted is the highest index that is synced to this member's disk.
 	persisted uint64
 	savedTerm uint64
 	savedVote uint64
 	votes     map[uint64]bool
-	// progress has one item per member of the membership in force, on a leader.
+	// progress has one item for each member of the current membership. It is
+	// nil on members other than the leader.
 	progress map[uint64]*progress
 	round    uint64
 	reads    []pendingRead
-	// elapsed counts ticks since word of a leader, or on a leader since the
-	// last quorum check.
+	// elapsed counts the ticks since the last message from the leader, or on a
+	// leader since the last quorum check.
 	elapsed int
-	// ledTerm is the newest term whose leader was known here, and ledTicks counts the ticks
-	// since it was first known; restless is set where the leader before it was first known
-	// shortly before.
-	ledTerm  uint64
-	ledTicks int
-	restless bool
-	// met is set once a leader was heard, or elected here, since the start.
-	met              bool
+	// lastLeaderTerm is the newest term whose leader was known to this member,
+	// and lastLeaderTicks counts the ticks since that leader was first known.
+	// leadershipUnstable is set if the leader before it was first known less than
+	// unstableElections election timeouts earlier.
+	lastLeaderTerm     uint64
+	lastLeaderTicks    int
+	leadershipUnstable bool
+	// leaderSeen is set once this member has received from a leader, or has been
+	// elected itself, since it started.
+	leaderSeen       bool
 	heartbeatElapsed int
 	timeout          int
 	uncommittedBytes int
 	transferee       uint64
 	transferElapsed  int
 	messages         []*schema.ConsensusMessage
-	confirmed        []ReadState
+	confirmedReads   []ReadState
 	snapshot         *schema.SnapshotState
 }
 
-// NewCore returns a follower that continues from what was saved.
+// NewCore returns a follower that continues from the saved state.
 func NewCore(cfg CoreConfig) *Core {
 	cfg.ElectionTicks = orDefault(cfg.ElectionTicks, defaultElectionTicks)
 	cfg.HeartbeatTicks = orDefault(cfg.HeartbeatTicks, defaultHeartbeatTicks)
 	cfg.AppendBytes = orDefault(cfg.AppendBytes, defaultAppendBytes)
 	cfg.Inflight = orDefault(cfg.Inflight, defaultInflight)
-	cfg.UncommittedBytes = orDefault(cfg.UncommittedBytes, defaultUncommitted)
+	cfg.UncommittedBytes = orDefault(cfg.UncommittedBytes, defaultUncommittedBytes)
 	c := &Core{
 		cfg:       cfg,
 		term:      cfg.Saved.HardState.GetTerm(),
@@ -175,13 +183,13 @@
 	return v
 }
 
-// Role returns the member's present role.
+// Role returns the member's current role.
 func (c *Core) Role() Role { return c.role }
 
-// Term returns the member's present term.
+// Term returns the member's current term.
 func (c *Core) Term() uint64 { return c.term }
 
-// Leader returns the id of the leader as far as known, or 0.
+// Leader returns the id of the known leader of the current term, or 0.
 func (c *Core) Leader() uint64 { return c.leader }
 
 // Commit returns the highest index known to be committed.
@@ -190,27 +198,30 @@
 // Last returns the index of the log's last entry.
 func (c *Core) Last() uint64 { return c.log.last() }
 
-// Membership returns the membership in force. It must not be changed.
+// Membership returns the latest membership in the log, committed or not. It must
+// not be modified.
 func (c *Core) Membership() *schema.Membership { return c.log.membership() }
 
-// MembershipAt returns the membership in force at an index of the log.
+// MembershipAt returns the membership that applies at an index of the log.
 func (c *Core) MembershipAt(index uint64) *schema.Membership {
 	return c.log.membershipAt(index)
 }
 
-// Match returns how far the leader knows a member's disk to be, and for how
-// many ticks it has not answered; false on other members.
-func (c *Core) Match(id uint64) (match uint64, silent int, ok bool) {
+// Match returns the highest index that a member has acknowledged to this leader
+// and the number of ticks since the member's last reply. It returns false if this
+// member is not the leader or has no such member.
+func (c *Core) Match(id uint64) (match uint64, silentTicks int, ok bool) {
 	p, ok := c.progress[id]
 	if !ok {
 		return 0, 0, false
 	}
-	return p.match, p.heard, true
+	return p.match, p.silentTicks, true
 }
 
-// HeartbeatRounds returns the number of the last heartbeat round that this leader began, and of the
-// last that a quorum has answered; 0 on other members.
-func (c *Core) HeartbeatRounds() (begun, answered uint64) {
+// HeartbeatRounds returns the number of the last heartbeat round that this leader
+// started, and of the last one that a quorum has acknowledged. Both are 0 on other
+// members.
+func (c *Core) HeartbeatRounds() (started, acknowledged uint64) {
 	if c.role != RoleLeader {
 		return 0, 0
 	}
@@ -226,8 +237,8 @@
 	return c.round, rounds[len(rounds)-c.quorum()]
 }
 
-// CommittedInTerm reports whether a leader has committed an entry of its own term, so
-// that its commit index covers everything acknowledged before.
+// CommittedInTerm reports whether this member leads and has committed an entry of its
+// own term, so that its commit index covers everything acknowledged before.
 func (c *Core) CommittedInTerm() bool {
 	t, ok := c.log.term(c.log.commit)
 	return c.role == RoleLeader && ok && t == c.term
@@ -236,12 +247,12 @@
 // Tick advances the member's clock by one tick.
 func (c *Core) Tick() {
 	c.elapsed++
-	c.ledTicks++
+	c.lastLeaderTicks++
 	if c.role == RoleLeader {
 		c.tickLeader()
 		return
 	}
-	if c.elapsed >= c.timeout*c.patience() && c.isVoter(c.cfg.ID) {
+	if c.elapsed >= c.timeout*c.timeoutFactor() && c.isVoter(c.cfg.ID) {
 		c.campaign(true, false)
 	}
 }
@@ -251,19 +262,19 @@
 	if c.transferee != 0 {
 		c.transferElapsed++
 	}
-	// A transfer that has not happened within an election timeout is given up,
-	// or its target's death would keep proposals refused for ever.
+	// A transfer that does not complete within an election timeout is cancelled.
+	// Otherwise proposals would be refused forever if the target fails.
 	if c.transferElapsed >= c.cfg.ElectionTicks {
 		c.transferee, c.transferElapsed = 0, 0
 	}
 	for _, p := range c.progress {
-		p.heard++
+		p.silentTicks++
 	}
-	if c.elapsed >= c.cfg.ElectionTicks*c.patience() {
+	if c.elapsed >= c.cfg.ElectionTicks*c.timeoutFactor() {
 		c.elapsed = 0
 		if !c.quorumActive() {
-			// A leader cut off from its quorum would go on answering callers
-			// while another leader is elected; it steps down instead.
+			// A leader that is partitioned from its quorum steps down. Otherwise
+			// it would continue to serve callers while another leader is elected.
 			c.becomeFollower(c.term, 0)
 			return
 		}
@@ -274,8 +285,9 @@
 	}
 }
 
-// Propose appends a command on the leader and returns its index and term. The
-// command is committed only when an entry with both appears in Ready.Committed.
+// Propose appends a command to the leader's log and returns its index and term.
+// The command is committed only when an entry with the same index and term appears
+// in Ready.Committed.
 func (c *Core) Propose(data []byte) (index, term uint64, err error) {
 	if c.role != RoleLeader || c.transferee != 0 {
 		return 0, 0, ErrNotLeader
@@ -283,18 +295,18 @@
 	if c.uncommittedBytes > c.cfg.UncommittedBytes {
 		return 0, 0, ErrBusy
 	}
-	index = c.appendOwn(schema.EntryKind_ENTRY_KIND_COMMAND, data)
+	index = c.appendEntry(schema.EntryKind_ENTRY_KIND_COMMAND, data)
 	return index, c.term, nil
 }
 
-// ProposeMembership appends a new membership that differs from the present one
-// by one member.
+// ProposeMembership appends a new membership, which must differ from the current
+// one by a single member.
 func (c *Core) ProposeMembership(m *schema.Membership) error {
 	if c.role != RoleLeader || c.transferee != 0 {
 		return ErrNotLeader
 	}
-	// Two changes at once, or a change before this leader knows what is
-	// committed, can give two quorums without a common member: two leaders.
+	// Two concurrent changes, or a change before this leader knows what is
+	// committed, can lead to two disjoint quorums and so to two leaders.
 	if c.log.membershipIndex() > c.log.commit {
 		return ErrChangePending
 	}
@@ -305,18 +317,18 @@
 	if err != nil {
 		return errors.Newf("encode membership: %w", err)
 	}
-	c.appendOwn(schema.EntryKind_ENTRY_KIND_MEMBERSHIP, data)
+	c.appendEntry(schema.EntryKind_ENTRY_KIND_MEMBERSHIP, data)
 	return nil
 }
 
-// Read asks for a confirmed read; its ReadState appears in a later Ready. It is
-// dropped without a word when the member stops leading.
+// Read starts a read that a quorum must confirm; its ReadState appears in a later
+// Ready. The read is dropped without notice if the member loses leadership.
 func (c *Core) Read(id uint64) error {
 	if c.role != RoleLeader {
 		return ErrNotLeader
 	}
-	// Before the first commit of its term a new leader does not know which
-	// entries of its predecessors were acknowledged.
+	// Before the first commit of its term, a new leader does not know which
+	// entries of earlier terms were acknowledged.
 	if !c.CommittedInTerm() {
 		return ErrNoCommitInTerm
 	}
@@ -326,24 +338,25 @@
 	return nil
 }
 
-// Compact forgets entries up to an applied index that a stored snapshot covers.
+// Compact removes the entries up to index from memory. The entries must be
+// applied and covered by a stored snapshot.
 func (c *Core) Compact(index uint64) {
 	c.log.compact(min(index, c.log.applied))
 }
 
-// Step takes in a message from another member.
+// Step processes a message from another member.
 func (c *Core) Step(m *schema.ConsensusMessage) {
 	if m.GetTo() != c.cfg.ID {
 		return
 	}
 	switch {
 	case m.GetTerm() > c.term:
-		if c.ignoresVote(m) {
+		if c.ignoresVoteRequest(m) {
 			return
 		}
-		c.followTerm(m)
+		c.adoptTerm(m)
 	case m.GetTerm() < c.term:
-		c.answerOldTerm(m)
+		c.rejectOldTerm(m)
 		return
 	}
 	c.dispatch(m)
@@ -382,17 +395,17 @@
 func (c *Core) HasReady() bool {
 	return c.term != c.savedTerm || c.vote != c.savedVote || c.snapshot != nil ||
 		c.log.unstable <= c.log.last() || len(c.messages) > 0 ||
-		c.log.applied < c.log.commit || len(c.confirmed) > 0
+		c.log.applied < c.log.commit || len(c.confirmedReads) > 0
 }
 
-// Ready returns the work at hand. Advance must follow once it is done.
+// Ready returns the pending work. The caller must call Advance once it is done.
 func (c *Core) Ready() Ready {
 	r := Ready{
 		Snapshot:  c.snapshot,
 		Entries:   c.log.slice(c.log.unstable, c.log.last(), int(^uint(0)>>1)),
 		Messages:  c.messages,
 		Committed: c.log.slice(c.log.applied+1, c.log.commit, int(^uint(0)>>1)),
-		Reads:     c.confirmed,
+		Reads:     c.confirmedReads,
 	}
 	if c.term != c.savedTerm || c.vote != c.savedVote || len(r.Entries) > 0 || r.Snapshot != nil {
 		r.HardState = &schema.HardState{Term: c.term, Vote: c.vote, Commit: c.log.commit}
@@ -400,14 +413,14 @@
 	return r
 }
 
-// Advance takes note that everything in r is stored, sent and applied.
+// Advance marks everything in r as stored, sent and applied.
 func (c *Core) Advance(r Ready) {
 	if r.HardState != nil {
 		c.savedTerm, c.savedVote = r.HardState.GetTerm(), r.HardState.GetVote()
 	}
 	c.snapshot = nil
 	c.messages = nil
-	c.confirmed = nil
+	c.confirmedReads = nil
 	c.log.unstable = c.log.last() + 1
 	c.persisted = c.log.last()
 	if n := len(r.Committed); n > 0 {
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -13,7 +13,7 @@
 	"fennelyard/internal/schema"
 )
 
-func memberOf(id uint64, entries ...*schema.LogEntry) *consensus.Core {
+func newCore(id uint64, entries ...*schema.LogEntry) *consensus.Core {
 	first := &schema.Membership{Members: []*schema.Member{{Id: 1}, {Id: 2}, {Id: 3}}}
 	return consensus.NewCore(consensus.CoreConfig{
 		ID: id, Random: func(int) int { return 0 },
@@ -24,8 +24,8 @@
 	})
 }
 
-// work stores and sends nothing; it only moves a core on.
-func work(c *consensus.Core) (sent []*schema.ConsensusMessage) {
+// processReady marks all pending processReady of a core as done and returns its messages.
+func processReady(c *consensus.Core) (sent []*schema.ConsensusMessage) {
 	for c.HasReady() {
 		r := c.Ready()
 		sent = append(sent, r.Messages...)
@@ -34,48 +34,49 @@
 	return sent
 }
 
-// TestFollowerCommitsOnlyWhatItCompared: a follower holds entries of a deposed
-// leader beyond the point where the new leader's append agrees with its log.
-// The new leader's commit index is higher; taking it as it stands would apply
-// entries that were never committed.
-func TestFollowerCommitsOnlyWhatItCompared(t *testing.T) {
-	c := memberOf(2, entryAt(2, 1, "a"), entryAt(3, 1, "stale"), entryAt(4, 1, "stale"))
+// A follower has entries of a deposed leader after the index at which the new
+// leader's append matches its log, and the new leader's commit index covers their
+// indexes. If the follower adopted that commit index, it would apply entries that
+// were never committed.
+func TestFollowerCommitsOnlyMatchedEntries(t *testing.T) {
+	c := newCore(2, entryAt(2, 1, "a"), entryAt(3, 1, "stale"), entryAt(4, 1, "stale"))
 	c.Step(&schema.ConsensusMessage{
 		Kind: schema.MessageKind_MESSAGE_KIND_APPEND, From: 1, To: 2, Term: 2, Index: 2, LogTerm: 1, Commit: 4,
 	})
 	assert.EqualValues(t, 2, c.Commit())
 }
 
-// TestFirstElectionAfterAStart: every member starts at once, as after a loss of
-// power, and nobody leads. A member asks for pre-votes well before an election
-// timeout; once it has met a leader it waits for the whole timeout, or every
-// short silence would depose a leader that lives.
-func TestFirstElectionAfterAStart(t *testing.T) {
-	quiet := func(c *consensus.Core) (ticks int) {
+// All members start at once, as after a power loss, and there is no leader. A
+// member requests pre-votes well before a full election timeout. Once it has seen
+// a leader, it waits for the full timeout; otherwise every short silence would
+// depose an active leader.
+func TestFirstElectionAfterStart(t *testing.T) {
+	ticksToElection := func(c *consensus.Core) (ticks int) {
 		for c.Role() == consensus.RoleFollower {
 			c.Tick()
 			ticks++
 		}
 		return ticks
 	}
-	c := memberOf(2)
-	assert.Equal(t, 3, quiet(c))
-	c = memberOf(2)
+	c := newCore(2)
+	assert.Equal(t, 3, ticksToElection(c))
+	c = newCore(2)
 	c.Step(&schema.ConsensusMessage{Kind: schema.MessageKind_MESSAGE_KIND_APPEND, From: 1, To: 2, Term: 1, Index: 1, LogTerm: 1})
-	assert.Equal(t, 10, quiet(c))
+	assert.Equal(t, 10, ticksToElection(c))
 }
 
-// Leaders came and went: each had a fleet's burst of work before it in its first second, was
-// silent for it, and was deposed by the next, which had the same. The second leader within ten
-// seconds is waited for twice as long; one that has led for a while, or none, is not.
-func TestLeadersThatComeAndGoAreGivenTime(t *testing.T) {
-	hear := func(c *consensus.Core, from, term uint64) {
+// Each new leader of a large fleet has a burst of work in its first second, is
+// silent meanwhile and is deposed by the next leader, which has the same burst. The
+// election timeout is doubled for the second leader within ten seconds, but not for
+// one that has led for longer and not while there is no leader.
+func TestElectionTimeoutWhileLeadershipIsUnstable(t *testing.T) {
+	receiveAppend := func(c *consensus.Core, from, term uint64) {
 		c.Step(&schema.ConsensusMessage{
 			Kind: schema.MessageKind_MESSAGE_KIND_APPEND, From: from, To: 2, Term: term, Index: consensus.FirstIndex, LogTerm: 1,
 		})
-		work(c)
+		processReady(c)
 	}
-	quiet := func(c *consensus.Core) (ticks int) {
+	ticksToElection := func(c *consensus.Core) (ticks int) {
 		for c.Role() == consensus.RoleFollower {
 			c.Tick()
 			ticks++
@@ -83,63 +84,64 @@
 		return ticks
 	}
 	for name, x := range map[string]struct {
-		// led is how many ticks the first leader led, and lives the second.
-		led, lives int
-		ticks      int
+		// firstTicks and secondTicks are the ticks for which the first and the
+		// second leader send.
+		firstTicks, secondTicks int
+		want                    int
 	}{
-		"after a while":          {200, 0, 10},
-		"soon after another":     {199, 0, 20},
-		"and has led for long":   {50, 200, 10},
-		"and has led for little": {50, 150, 20},
+		"first leader stable":                     {200, 0, 10},
+		"two changes within 20 election timeouts": {199, 0, 20},
+		"second leader stable":                    {50, 200, 10},
+		"second leader not yet stable":            {50, 150, 20},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := memberOf(2)
-			hear(c, 1, 2)
-			for range x.led {
+			c := newCore(2)
+			receiveAppend(c, 1, 2)
+			for range x.firstTicks {
 				c.Tick()
-				hear(c, 1, 2)
+				receiveAppend(c, 1, 2)
 			}
-			hear(c, 3, 3)
-			for range x.lives {
+			receiveAppend(c, 3, 3)
+			for range x.secondTicks {
 				c.Tick()
-				hear(c, 3, 3)
+				receiveAppend(c, 3, 3)
 			}
-			assert.Equal(t, x.ticks, quiet(c))
-			// Once it is lost nothing more is waited for than before.
-			work(c)
-			again := 0
-			for len(work(c)) == 0 {
+			assert.Equal(t, x.want, ticksToElection(c))
+			// Once the leader is lost, the timeout is no longer extended.
+			processReady(c)
+			ticks := 0
+			for len(processReady(c)) == 0 {
 				c.Tick()
-				again++
+				ticks++
 			}
-			assert.Equal(t, 10, again)
+			assert.Equal(t, 10, ticks)
 		})
 	}
 }
 
-// elect makes a core the leader of the second term with the vote of member 2.
-func elect(t *testing.T, c *consensus.Core) {
+// electLeader makes a core the leader of term 2 with the vote of member 2.
+func electLeader(t *testing.T, c *consensus.Core) {
 	t.Helper()
 	for c.Role() != consensus.RolePreCandidate {
 		c.Tick()
 	}
-	work(c)
+	processReady(c)
 	c.Step(&schema.ConsensusMessage{Kind: schema.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY, From: 2, To: 1, Term: c.Term() + 1})
-	work(c)
+	processReady(c)
 	c.Step(&schema.ConsensusMessage{Kind: schema.MessageKind_MESSAGE_KIND_VOTE_REPLY, From: 2, To: 1, Term: c.Term()})
-	work(c)
+	processReady(c)
 	require.Equal(t, consensus.RoleLeader, c.Role())
 }
 
-// TestCutOffLeaderStepsDown: a leader that hears from no quorum would go on
-// taking commands that can never be committed, and callers would wait for them.
-func TestCutOffLeaderStepsDown(t *testing.T) {
-	c := memberOf(1)
-	elect(t, c)
+// A leader that receives no replies from a quorum would otherwise continue to
+// accept commands that can never be committed, and their callers would wait.
+func TestPartitionedLeaderStepsDown(t *testing.T) {
+	c := newCore(1)
+	electLeader(t, c)
 	ticks := 0
 	for c.Role() == consensus.RoleLeader {
 		c.Tick()
-		work(c)
+		processReady(c)
 		ticks++
 		require.LessOrEqual(t, ticks, 20, "two election timeouts")
 	}
@@ -147,17 +149,17 @@
 	assert.ErrorIs(t, err, consensus.ErrNotLeader)
 }
 
-// TestEntriesOfEarlierTermsAreNotCounted: a new leader finds an entry of an
-// earlier term on a quorum. Another member may still hold a later entry at that
-// place and win an election; only an entry of the leader's own term settles it.
-func TestEntriesOfEarlierTermsAreNotCounted(t *testing.T) {
-	c := memberOf(1, entryAt(2, 1, "old"))
-	elect(t, c)
+// An entry of an earlier term is stored on a quorum. Another member can still have
+// an entry of a later term at the same index and win an election, so the leader
+// commits the entry only together with one of its own term.
+func TestEntriesOfEarlierTermsAreNotCommittedAlone(t *testing.T) {
+	c := newCore(1, entryAt(2, 1, "old"))
+	electLeader(t, c)
 	reply := func(index uint64) {
 		c.Step(&schema.ConsensusMessage{
 			Kind: schema.MessageKind_MESSAGE_KIND_APPEND_REPLY, From: 2, To: 1, Term: c.Term(), Index: index,
 		})
-		work(c)
+		processReady(c)
 	}
 	reply(2)
 	assert.EqualValues(t, consensus.FirstIndex, c.Commit())
@@ -165,12 +167,12 @@
 	assert.EqualValues(t, 3, c.Commit())
 }
 
-// TestMemberThatWasCutOffDeposesNobody: a member comes back after a long cut and
-// asks for votes. The others hear from a living leader and do not answer with
-// their own term, so the leader keeps its term.
-func TestMemberThatWasCutOffDeposesNobody(t *testing.T) {
-	c := memberOf(1)
-	elect(t, c)
+// A member reconnects after a long partition and requests votes for a higher term.
+// While there is an active leader, the requests are ignored and the leader stays in
+// its term.
+func TestPartitionedMemberDoesNotDeposeLeader(t *testing.T) {
+	c := newCore(1)
+	electLeader(t, c)
 	term := c.Term()
 	for _, kind := range []schema.MessageKind{schema.MessageKind_MESSAGE_KIND_PRE_VOTE, schema.MessageKind_MESSAGE_KIND_VOTE} {
 		c.Step(&schema.ConsensusMessage{Kind: kind, From: 3, To: 1, Term: term + 5, Index: 99, LogTerm: term})
@@ -179,17 +181,17 @@
 	assert.Equal(t, consensus.RoleLeader, c.Role())
 }
 
-func TestMessagesForAnotherIdentityAreDropped(t *testing.T) {
-	c := memberOf(1)
+func TestMessagesForAnotherMemberAreDropped(t *testing.T) {
+	c := newCore(1)
 	c.Step(&schema.ConsensusMessage{Kind: schema.MessageKind_MESSAGE_KIND_VOTE, From: 3, To: 9, Term: 7})
 	assert.EqualValues(t, 1, c.Term())
 }
 
-// TestLogThatLostItsEndIsRefused removes the last acknowledged entry so that
-// everything that is left reads well.
-func TestLogThatLostItsEndIsRefused(t *testing.T) {
-	folder := filled(t)
-	db, err := bbolt.Open(file(folder), 0o600, nil)
+// The last acknowledged entry is missing from the log, and every remaining record
+// is valid by itself. The storage must detect the loss.
+func TestTruncatedLogIsRejected(t *testing.T) {
+	folder := newFilledFolder(t)
+	db, err := bbolt.Open(databasePath(folder), 0o600, nil)
 	require.NoError(t, err)
 	require.NoError(t, db.Update(func(tx *bbolt.Tx) error {
 		return tx.Bucket([]byte("log")).Delete(binary.BigEndian.AppendUint64(nil, 41))
@@ -203,8 +205,8 @@
 	f.Add(uint8(3), uint64(2), uint64(2), uint64(1), uint64(1), uint64(3), false)
 	f.Add(uint8(7), uint64(3), uint64(9), uint64(5), uint64(4), uint64(0), true)
 	f.Fuzz(func(_ *testing.T, kind uint8, from, term, index, logTerm, commit uint64, reject bool) {
-		// Whatever a peer sends, a member answers or drops it.
-		c := memberOf(1, entryAt(2, 1, "a"))
+		// A member replies to or drops any message; it must not panic.
+		c := newCore(1, entryAt(2, 1, "a"))
 		for range 2 {
 			c.Step(&schema.ConsensusMessage{
 				Kind: schema.MessageKind(kind % 9), From: from, To: 1, Term: term, Index: index, LogTerm: logTerm,
@@ -213,7 +215,7 @@
 			for range 30 {
 				c.Tick()
 			}
-			work(c)
+			processReady(c)
 		}
 	})
 }
--- a/internal/consensus/room.go
+++ b/internal/consensus/disk.go
@@ -7,7 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// FreeBytes tells the room left for this process on a folder's disk.
+// FreeBytes returns the free space in bytes that is available to unprivileged
+// processes on the disk of a folder.
 func FreeBytes(folder string) (uint64, error) {
 	var s syscall.Statfs_t
 	if err := syscall.Statfs(folder, &s); err != nil {
@@ -16,7 +17,8 @@
 	return s.Bavail * uint64(s.Bsize), nil
 }
 
-// RandomID returns an id for a new disk. It never returns 0, which means none.
+// RandomID returns a random id for a new disk. It never returns 0, which means no
+// member.
 func RandomID() uint64 {
 	for {
 		if id := rand.Uint64(); id != 0 {
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -6,8 +6,9 @@
 	"fennelyard/internal/schema"
 )
 
-// TransferLeadership asks the leader to hand over to the most advanced other voter. It
-// returns false when there is none.
+// TransferLeadership starts a leadership transfer to the most up-to-date other
+// voter. It returns false if this member is not the leader or no other voter is
+// reachable.
 func (c *Core) TransferLeadership() bool {
 	if c.role != RoleLeader {
 		return false
@@ -15,7 +16,7 @@
 	var best uint64
 	for _, m := range c.Membership().GetMembers() {
 		p := c.progress[m.GetId()]
-		if m.GetId() == c.cfg.ID || m.GetLearner() || p == nil || !p.active && p.heard > c.cfg.ElectionTicks {
+		if m.GetId() == c.cfg.ID || m.GetLearner() || p == nil || !p.active && p.silentTicks > c.cfg.ElectionTicks {
 			continue
 		}
 		if best == 0 || p.match > c.progress[best].match {
@@ -37,9 +38,10 @@
 	c.send(&schema.ConsensusMessage{Kind: schema.MessageKind_MESSAGE_KIND_TIMEOUT_NOW, To: id, Term: c.term})
 }
 
-// ignoresVote reports whether a live leader makes a vote request void: a member
-// that was cut off, or removed, would otherwise depose it by its higher term.
-func (c *Core) ignoresVote(m *schema.ConsensusMessage) bool {
+// ignoresVoteRequest reports whether a vote request is ignored because there is an
+// active leader. Otherwise a member that was partitioned or removed would depose
+// the leader by its higher term.
+func (c *Core) ignoresVoteRequest(m *schema.ConsensusMessage) bool {
 	if m.GetTransfer() {
 		return false
 	}
@@ -47,10 +49,10 @@
 	if kind != schema.MessageKind_MESSAGE_KIND_VOTE && kind != schema.MessageKind_MESSAGE_KIND_PRE_VOTE {
 		return false
 	}
-	return c.role == RoleLeader || c.leader != 0 && c.elapsed < c.cfg.ElectionTicks*c.patience()
+	return c.role == RoleLeader || c.leader != 0 && c.elapsed < c.cfg.ElectionTicks*c.timeoutFactor()
 }
 
-func (c *Core) followTerm(m *schema.ConsensusMessage) {
+func (c *Core) adoptTerm(m *schema.ConsensusMessage) {
 	switch m.GetKind() {
 	case schema.MessageKind_MESSAGE_KIND_PRE_VOTE:
 		return
@@ -66,10 +68,10 @@
 	}
 }
 
-// answerOldTerm tells a sender of an older term about the present one. Without
-// it a member whose term ran ahead would never accept the living leader, and
-// the leader would never learn why.
-func (c *Core) answerOldTerm(m *schema.ConsensusMessage) {
+// rejectOldTerm replies to a message of an older term with the current term.
+// Otherwise a member whose term is ahead would never accept the active leader,
+// and the leader would never learn of the higher term.
+func (c *Core) rejectOldTerm(m *schema.ConsensusMessage) {
 	kind := schema.MessageKind_MESSAGE_KIND_UNSPECIFIED
 	switch m.GetKind() {
 	case schema.MessageKind_MESSAGE_KIND_APPEND, schema.MessageKind_MESSAGE_KIND_SNAPSHOT:
@@ -91,7 +93,7 @@
 		c.vote = 0
 	}
 	c.leader = leader
-	c.noteLeader()
+	c.recordLeader()
 	c.progress = nil
 	c.reads = nil
 	c.votes = nil
@@ -100,45 +102,47 @@
 	c.resetTimeout()
 }
 
-// earlyPart is the part of the election timeout, one in so many, after which a
-// member that has not met a leader since its start asks for pre-votes. After all
-// members lost power nobody leads, and every tick more leaves callers unserved;
-// where somebody leads, the pre-vote is ignored and changes nothing.
-const earlyPart = 3
+// startTimeoutDivisor divides the election timeout of a member that has not seen
+// a leader since it started. If all members lose power there is no leader, and
+// callers are not served until one is elected. If there is a leader, the early
+// pre-vote is ignored and has no effect.
+const startTimeoutDivisor = 3
 
 func (c *Core) resetTimeout() {
 	c.elapsed = 0
 	c.timeout = c.cfg.ElectionTicks + c.cfg.Random(c.cfg.ElectionTicks)
-	if !c.met {
-		c.timeout = max((c.cfg.ElectionTicks+c.cfg.Random(c.cfg.ElectionTicks))/earlyPart, 1)
+	if !c.leaderSeen {
+		c.timeout = max((c.cfg.ElectionTicks+c.cfg.Random(c.cfg.ElectionTicks))/startTimeoutDivisor, 1)
 	}
 }
 
 const (
-	// restlessFor is for how many election timeouts after a change of leader the next one
-	// shows that leaders come and go.
-	restlessFor = 20
-	// restlessTimes is how many times as long the leader may be silent then, and its quorum:
-	// a new leader of a large group has the most to do in its first seconds. Deposed over
-	// it, it leaves the same to the next, and none of them serves anybody.
-	restlessTimes = 2
+	// unstableElections is the number of election timeouts after a change of
+	// leader within which another change marks leadership as unstable.
+	unstableElections = 20
+	// unstableTimeoutFactor multiplies the timeouts for the leader and for its
+	// quorum while leadership is unstable. A new leader of a large group has the
+	// most work in its first seconds. If it is deposed because of that load, the
+	// next leader faces the same work, and no leader serves requests.
+	unstableTimeoutFactor = 2
 )
 
-// noteLeader notes that the leader of the present term is known, if it is.
-func (c *Core) noteLeader() {
-	c.met = c.met || c.leader != 0
-	if c.leader == 0 || c.term <= c.ledTerm {
+// recordLeader updates the leadership history if the leader of the current term
+// is known.
+func (c *Core) recordLeader() {
+	c.leaderSeen = c.leaderSeen || c.leader != 0
+	if c.leader == 0 || c.term <= c.lastLeaderTerm {
 		return
 	}
-	c.restless = c.ledTerm != 0 && c.ledTicks < restlessFor*c.cfg.ElectionTicks
-	c.ledTerm, c.ledTicks = c.term, 0
+	c.leadershipUnstable = c.lastLeaderTerm != 0 && c.lastLeaderTicks < unstableElections*c.cfg.ElectionTicks
+	c.lastLeaderTerm, c.lastLeaderTicks = c.term, 0
 }
 
-// patience is how many times as long as otherwise the present leader may be silent. While
-// none is known nothing is waited for.
-func (c *Core) patience() int {
-	if c.leader != 0 && c.restless && c.ledTicks < restlessFor*c.cfg.ElectionTicks {
-		return restlessTimes
+// timeoutFactor returns the factor by which the timeouts for the current leader
+// are extended. It is 1 while no leader is known.
+func (c *Core) timeoutFactor() int {
+	if c.leader != 0 && c.leadershipUnstable && c.lastLeaderTicks < unstableElections*c.cfg.ElectionTicks {
+		return unstableTimeoutFactor
 	}
 	return 1
 }
@@ -174,10 +178,10 @@
 	if pre {
 		kind = schema.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY
 	}
-	free := pre && m.GetTerm() > c.term || c.vote == m.GetFrom() || c.vote == 0 && c.leader == 0
-	current := m.GetLogTerm() > c.log.lastTerm() ||
+	canVote := pre && m.GetTerm() > c.term || c.vote == m.GetFrom() || c.vote == 0 && c.leader == 0
+	upToDate := m.GetLogTerm() > c.log.lastTerm() ||
 		m.GetLogTerm() == c.log.lastTerm() && m.GetIndex() >= c.log.last()
-	if !free || !current || pre && c.goesFirst(m) {
+	if !canVote || !upToDate || pre && c.takesPrecedence(m) {
 		c.send(&schema.ConsensusMessage{Kind: kind, To: m.GetFrom(), Term: c.term, Reject: true})
 		return
 	}
@@ -188,12 +192,12 @@
 	c.send(&schema.ConsensusMessage{Kind: kind, To: m.GetFrom(), Term: m.GetTerm()})
 }
 
-// goesFirst reports whether this member asked for pre-votes at the same moment as
-// another whose log is no better, and has the lower id. Were the two to grant
-// each other's, both would become candidates, vote for themselves and wait for
-// another timeout. It holds within a tick only: a member whose own requests reach
-// nobody must not keep the others from electing one.
-func (c *Core) goesFirst(m *schema.ConsensusMessage) bool {
+// takesPrecedence reports whether this member requested pre-votes in the same tick
+// as the sender, has an equal log and the lower id. If both granted each other's
+// pre-vote, both would become candidates, vote for themselves and wait for another
+// timeout. The precedence is limited to one tick: a member whose own requests are
+// lost must not prevent the others from electing a leader.
+func (c *Core) takesPrecedence(m *schema.ConsensusMessage) bool {
 	same := m.GetLogTerm() == c.log.lastTerm() && m.GetIndex() == c.log.last()
 	return c.role == RolePreCandidate && c.elapsed == 0 && same && c.cfg.ID < m.GetFrom()
 }
@@ -202,8 +206,8 @@
 	if c.role != role {
 		return
 	}
-	// Only an answer to the present campaign counts: a pre-vote of an earlier
-	// term must not help a later one.
+	// Only replies to the current campaign count: a pre-vote granted for an
+	// earlier term must not count for a later one.
 	if role == RolePreCandidate && !m.GetReject() && m.GetTerm() != c.term+1 {
 		return
 	}
@@ -238,16 +242,17 @@
 func (c *Core) becomeLeader() {
 	c.role = RoleLeader
 	c.leader = c.cfg.ID
-	c.noteLeader()
+	c.recordLeader()
 	c.votes = nil
 	c.elapsed, c.heartbeatElapsed = 0, 0
 	c.progress = map[uint64]*progress{}
 	c.refreshProgress()
-	// A round of its own: answers to the entry below are the first that confirm this leader.
+	// The new round makes the replies to the entry below the first ones that
+	// confirm this leader.
 	c.round++
-	// The empty entry commits what predecessors left, which the leader may not
-	// count as committed by itself.
-	c.appendOwn(schema.EntryKind_ENTRY_KIND_EMPTY, nil)
+	// The empty entry commits the entries of earlier terms, which a leader must
+	// not commit by counting replicas.
+	c.appendEntry(schema.EntryKind_ENTRY_KIND_EMPTY, nil)
 }
 
 func (c *Core) quorumActive() bool {
--- a/internal/consensus/join.go
+++ b/internal/consensus/join.go
@@ -9,103 +9,108 @@
 )
 
 const (
-	// A learner is caught up when it lacks at most this many entries.
-	caughtUpWithin = 64
-	// A member is given up for its host's new disk only after this many ticks
-	// without an answer: two processes under one host name must not push each
-	// other out.
-	goneTicks = 40
+	// maxLearnerLag is the highest number of entries that a learner may be behind
+	// when it is promoted to a voter.
+	maxLearnerLag = 64
+	// replaceAfterTicks is the number of ticks without a reply after which the
+	// member of a host's new disk can replace the host's old member. It prevents
+	// two processes with the same host name from removing each other.
+	replaceAfterTicks = 40
 )
 
-// tendMembership takes one step towards the wanted members, if one is due.
-func (m *Member) tendMembership() {
-	for host, member := range m.joins {
+// reconcileMembership proposes the next membership change for the pending join
+// requests, if one is due.
+func (m *Member) reconcileMembership() {
+	for host, member := range m.joinRequests {
 		next := NextMembershipChange(m.core.Membership(), member, m.core)
-		if voter := m.silentVoter(); voter >= 0 && makesVoter(next, member.GetId()) {
+		if voter := m.silentVoterIndex(); voter >= 0 && makesVoter(next, member.GetId()) {
 			next = withoutMember(m.core.Membership(), voter)
 		}
 		if next == nil {
 			if isVoter(m.core.Membership(), member.GetId()) {
-				delete(m.joins, host)
+				delete(m.joinRequests, host)
 			}
 			continue
 		}
-		// A change that is refused now is tried again at the next tick.
+		// A rejected change is retried at the next tick.
 		_ = m.core.ProposeMembership(next)
 		return
 	}
 }
 
-// silentVoter returns the place of a voter that has not answered for
-// SilentTicks, or -1. Hosts that are gone for good are replaced by hosts with
-// other addresses: if such a voter stayed, each replacement would raise the
-// quorum, and after a few the loss of one more host would stop the group. A
-// voter that was only cut off asks to be taken in again when it is back.
-func (m *Member) silentVoter() int {
+// silentVoterIndex returns the position of a voter that has not replied for
+// SilentTicks, or -1. Hosts that fail permanently are replaced by hosts with other
+// addresses. If the failed voters stayed in the membership, each replacement would
+// raise the quorum, and after a few of them the loss of one more host would stop
+// the group. A voter that was only partitioned requests to join again once it is
+// connected.
+func (m *Member) silentVoterIndex() int {
 	if m.cfg.SilentTicks == 0 {
 		return -1
 	}
-	for i, x := range m.core.Membership().GetMembers() {
-		if x.GetLearner() || x.GetId() == m.cfg.Storage.ID() {
+	for i, member := range m.core.Membership().GetMembers() {
+		if member.GetLearner() || member.GetId() == m.cfg.Storage.ID() {
 			continue
 		}
-		if _, silent, ok := m.core.Match(x.GetId()); ok && silent > m.cfg.SilentTicks {
+		if _, silentTicks, ok := m.core.Match(member.GetId()); ok && silentTicks > m.cfg.SilentTicks {
 			return i
 		}
 	}
 	return -1
 }
 
-// makesVoter reports whether a membership has the member as a voter.
+// makesVoter reports whether next is set and contains the member as a voter.
 func makesVoter(next *schema.Membership, id uint64) bool {
 	return next != nil && isVoter(next, id)
 }
 
-func withoutMember(now *schema.Membership, at int) *schema.Membership {
-	next := cloneMembership(now)
-	next.Members = slices.Delete(next.GetMembers(), at, at+1)
+func withoutMember(current *schema.Membership, index int) *schema.Membership {
+	next := cloneMembership(current)
+	next.Members = slices.Delete(next.GetMembers(), index, index+1)
 	return next
 }
 
 // NextMembershipChange returns the next single change that brings a host's new disk
-// into a group, or nil when none is due. The order is: add the new member as a
-// learner, let it catch up, remove the host's old member, make the learner a
-// voter. The old member goes before the new one votes: with both, the quorum
-// would grow and the loss of a second host in between would stop the group.
-func NextMembershipChange(now *schema.Membership, member *schema.Member, core *Core) *schema.Membership {
-	at := slices.IndexFunc(now.GetMembers(), func(m *schema.Member) bool { return m.GetId() == member.GetId() })
-	if at < 0 {
-		return withLearner(now, member)
+// into a group, or nil if none is due. The order is: add the new member as a
+// learner, wait until it has caught up, remove the host's old member, promote the
+// learner to a voter. The old member is removed before the new one becomes a voter
+// because with both the quorum would grow, and the loss of a second host in
+// between would stop the group.
+func NextMembershipChange(current *schema.Membership, member *schema.Member, core *Core) *schema.Membership {
+	index := slices.IndexFunc(current.GetMembers(), func(m *schema.Member) bool { return m.GetId() == member.GetId() })
+	if index < 0 {
+		return withLearner(current, member)
 	}
-	if !now.GetMembers()[at].GetLearner() {
+	if !current.GetMembers()[index].GetLearner() {
 		return nil
 	}
-	match, silent, ok := core.Match(member.GetId())
-	if !ok || match+caughtUpWithin < core.Last() || silent > goneTicks {
+	match, silentTicks, ok := core.Match(member.GetId())
+	if !ok || match+maxLearnerLag < core.Last() || silentTicks > replaceAfterTicks {
 		return nil
 	}
-	for i, old := range now.GetMembers() {
-		if i == at || old.GetHost() != member.GetHost() {
+	for i, old := range current.GetMembers() {
+		if i == index || old.GetHost() != member.GetHost() {
 			continue
 		}
-		if _, silent, ok := core.Match(old.GetId()); !ok || silent <= goneTicks {
+		if _, silentTicks, ok := core.Match(old.GetId()); !ok || silentTicks <= replaceAfterTicks {
 			return nil
 		}
-		return withoutMember(now, i)
+		return withoutMember(current, i)
 	}
-	next := cloneMembership(now)
-	next.Members[at].Learner = false
+	next := cloneMembership(current)
+	next.Members[index].Learner = false
 	return next
 }
 
-func withLearner(now *schema.Membership, member *schema.Member) *schema.Membership {
-	// An older learner of the same host is a disk that was lost before it voted.
-	for i, old := range now.GetMembers() {
+func withLearner(current *schema.Membership, member *schema.Member) *schema.Membership {
+	// An existing learner of the same host belongs to a disk that was lost before
+	// the learner became a voter.
+	for i, old := range current.GetMembers() {
 		if old.GetHost() == member.GetHost() && old.GetLearner() {
-			return withoutMember(now, i)
+			return withoutMember(current, i)
 		}
 	}
-	next := cloneMembership(now)
+	next := cloneMembership(current)
 	next.Members = append(next.Members, &schema.Member{
 		Id: member.GetId(), Host: member.GetHost(), Address: member.GetAddress(), Learner: true,
 	})
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -8,24 +8,24 @@
 	"fennelyard/internal/schema"
 )
 
-// memoryLog holds the entries behind the latest snapshot in memory.
+// memoryLog is the in-memory log of the entries after the latest compaction.
 type memoryLog struct {
 	// entries[i].Index is offset+1+i.
 	entries []*schema.LogEntry
-	// offset is the index of the snapshot's last entry; offsetTerm its term.
+	// offset is the index of the last compacted entry; offsetTerm is its term.
 	offset     uint64
 	offsetTerm uint64
 	// commit never decreases and is at most last().
 	commit uint64
 	// applied is at most commit.
 	applied uint64
-	// unstable is the first index that was not yet handed over for storing.
+	// unstable is the first index that is not yet stored.
 	unstable uint64
-	// memberships ascend by index; the first one is in the snapshot.
-	memberships []placedMembership
+	// memberships are sorted by index; the first one is that of the snapshot.
+	memberships []indexedMembership
 }
 
-type placedMembership struct {
+type indexedMembership struct {
 	index      uint64
 	membership *schema.Membership
 }
@@ -40,9 +40,9 @@
 	}
 	l.commit = min(l.commit, l.last())
 	l.unstable = l.last() + 1
-	l.memberships = []placedMembership{{l.offset, s.Snapshot.GetMembership()}}
+	l.memberships = []indexedMembership{{l.offset, s.Snapshot.GetMembership()}}
 	for _, e := range l.entries {
-		l.noteMembership(e)
+		l.recordMembership(e)
 	}
 	return l
 }
@@ -56,7 +56,8 @@
 	return t
 }
 
-// term returns false where the entry is compacted or not there.
+// term returns the term of an entry, or false if the entry is compacted or beyond
+// the end of the log.
 func (l *memoryLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.offset:
@@ -67,7 +68,7 @@
 	return l.entries[index-l.offset-1].GetTerm(), true
 }
 
-// slice returns entries from lo to hi, both included, up to a size in bytes but
+// slice returns the entries from lo to hi, both included, limited to maxBytes but
 // at least one entry.
 func (l *memoryLog) slice(lo, hi uint64, maxBytes int) []*schema.LogEntry {
 	if lo > hi || lo <= l.offset {
@@ -90,11 +91,11 @@
 // add appends the leader's own entry.
 func (l *memoryLog) add(e *schema.LogEntry) {
 	l.entries = append(l.entries, e)
-	l.noteMembership(e)
+	l.recordMembership(e)
 }
 
-// merge takes a follower's entries and drops what conflicts with them. It
-// returns the lowest index that it dropped or added, or 0.
+// merge adds entries received from the leader and drops conflicting ones. It
+// returns the lowest index that was dropped or added, or 0.
 func (l *memoryLog) merge(entries []*schema.LogEntry) uint64 {
 	for i, e := range entries {
 		t, ok := l.term(e.GetIndex())
@@ -112,7 +113,7 @@
 	return 0
 }
 
-// truncate drops the entries from an index on.
+// truncate drops the entries from index from on.
 func (l *memoryLog) truncate(from uint64) {
 	l.entries = l.entries[: from-l.offset-1 : from-l.offset-1]
 	l.unstable = min(l.unstable, from)
@@ -121,27 +122,27 @@
 	}
 }
 
-// compact forgets the entries up to an applied index.
+// compact removes the entries up to an applied index.
 func (l *memoryLog) compact(index uint64) {
 	t, ok := l.term(index)
 	if !ok || index <= l.offset {
 		return
 	}
 	m := l.membershipAt(index)
-	kept := make([]*schema.LogEntry, l.last()-index)
-	copy(kept, l.entries[index-l.offset:])
-	l.entries = kept
+	remaining := make([]*schema.LogEntry, l.last()-index)
+	copy(remaining, l.entries[index-l.offset:])
+	l.entries = remaining
 	l.offset, l.offsetTerm = index, t
 	l.setFirstMembership(index, m)
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the whole log with a snapshot.
 func (l *memoryLog) restore(s *schema.SnapshotState) {
 	l.entries = nil
 	l.offset, l.offsetTerm = s.GetIndex(), s.GetTerm()
 	l.commit, l.applied = l.offset, l.offset
 	l.unstable = l.offset + 1
-	l.memberships = []placedMembership{{l.offset, s.GetMembership()}}
+	l.memberships = []indexedMembership{{l.offset, s.GetMembership()}}
 }
 
 func (l *memoryLog) membership() *schema.Membership {
@@ -160,23 +161,23 @@
 }
 
 func (l *memoryLog) setFirstMembership(index uint64, m *schema.Membership) {
-	kept := []placedMembership{{index, m}}
+	remaining := []indexedMembership{{index, m}}
 	for _, p := range l.memberships {
 		if p.index > index {
-			kept = append(kept, p)
+			remaining = append(remaining, p)
 		}
 	}
-	l.memberships = kept
+	l.memberships = remaining
 }
 
-func (l *memoryLog) noteMembership(e *schema.LogEntry) {
+func (l *memoryLog) recordMembership(e *schema.LogEntry) {
 	if e.GetKind() != schema.EntryKind_ENTRY_KIND_MEMBERSHIP {
 		return
 	}
 	m := &schema.Membership{}
-	// The bytes were checked when the entry was proposed or read from disk.
+	// The data was validated when the entry was proposed or read from disk.
 	if err := proto.Unmarshal(e.GetData(), m); err != nil {
 		return
 	}
-	l.memberships = append(l.memberships, placedMembership{e.GetIndex(), m})
+	l.memberships = append(l.memberships, indexedMembership{e.GetIndex(), m})
 }
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -11,40 +11,41 @@
 )
 
 var (
-	// ErrLeaderLost says that leadership moved while a proposal was under way:
-	// it may or may not be committed.
+	// ErrLeaderLost is returned if the member lost leadership while a proposal
+	// or read was pending. The proposal may or may not be committed.
 	ErrLeaderLost = errors.New("leadership was lost; the outcome is not known")
-	// ErrOverwritten says that another entry took the proposal's place: it is
-	// not committed and never will be.
+	// ErrOverwritten is returned if another entry was committed at the proposal's
+	// index. The proposal is not committed and never will be.
 	ErrOverwritten = errors.New("the proposal was overwritten")
-	// ErrStopped says that the member has stopped.
+	// ErrStopped is returned if the member has stopped.
 	ErrStopped = errors.New("the member has stopped")
 )
 
 const (
 	defaultTick          = 100 * time.Millisecond
 	defaultSnapshotAfter = 10000
-	inboxSize            = 1024
-	// batchLimit bounds how much input one sync covers.
+	queueSize            = 1024
+	// batchLimit bounds the messages and proposals that are processed per sync.
 	batchLimit = 1024
-	// keepEntries stay in memory behind a snapshot, so that a member that is a
-	// little behind needs no snapshot.
-	keepDivisor = 2
-	// The disk's room is asked for once in this many ticks.
-	roomTicks = 20
+	// After a snapshot, SnapshotAfter/retainedEntriesDivisor entries stay in
+	// memory, so that a member that is slightly behind needs no snapshot.
+	retainedEntriesDivisor = 2
+	// diskCheckTicks is the interval between checks of the free disk space.
+	diskCheckTicks = 20
 )
 
-// StateMachine is the state machine that committed commands are applied to. The
+// StateMachine is the state machine that committed commands are applied to. Its
 // functions are called from one goroutine.
 type StateMachine struct {
-	// Apply must give the same result on every member.
+	// Apply applies a committed command. It must be deterministic: every member
+	// must reach the same state and result.
 	Apply func(index uint64, data []byte) any
-	// Advance takes note of an entry that holds no command, so that the
-	// state's index keeps up with the indexes that reads confirm.
+	// Advance records the index of an entry without a command, so that the
+	// index of the state reaches the indexes that reads return.
 	Advance func(index uint64)
-	// Snapshot returns the state after the last Apply.
+	// Snapshot returns the encoded state after the last Apply.
 	Snapshot func() ([]byte, error)
-	// Restore replaces the state; empty data means the first state.
+	// Restore replaces the state; empty data means the initial state.
 	Restore func(data []byte) error
 }
 
@@ -54,23 +55,22 @@
 	Group        uint64
 	Storage      *Storage
 	StateMachine StateMachine
-	// Send hands messages for one member to the network. It must not block and
-	// may lose them.
+	// Send sends messages to one member. It must not block and may drop them.
 	Send func(to *schema.Member, messages []*schema.ConsensusMessage)
-	// Tick is the time between heartbeats.
+	// Tick is the interval between heartbeats.
 	Tick          time.Duration
 	ElectionTicks int
-	// SnapshotAfter is how many entries are applied between two snapshots.
+	// SnapshotAfter is the number of entries applied between two snapshots.
 	SnapshotAfter uint64
-	// SilentTicks is after how many ticks without an answer a voter gives its
-	// place to a newcomer from any host; 0: never.
+	// SilentTicks is the number of ticks without a reply after which a voter is
+	// replaced by a joining member of any host; 0 means never.
 	SilentTicks int
 	Random      func(n int) int
-	// LeaderChanged, where set, is called on each change of leader or role. It
-	// must not block.
+	// LeaderChanged, if set, is called on each change of leader, role or term.
+	// It must not block.
 	LeaderChanged func(MemberStatus)
-	// MembersChanged, where set, is called when the membership or the silent voters
-	// are others. It must not block.
+	// MembersChanged, if set, is called when the membership or the set of silent
+	// voters changes. It must not block.
 	MembersChanged func(MemberStatus)
 }
 
@@ -90,33 +90,34 @@
 	reply chan outcome
 }
 
-// Member runs one member of a group. All methods are safe from any goroutine.
+// Member runs one member of a group. It is safe for concurrent use.
 type Member struct {
-	cfg       MemberConfig
-	core      *Core
-	inbox     chan *schema.ConsensusMessage
-	proposals chan proposal
-	readsIn   chan readRequest
-	calls     chan func()
-	stop      chan struct{}
-	done      chan struct{}
-	stopOnce  sync.Once
-
-	// The fields below belong to the loop's goroutine.
-	waiting map[uint64]proposal
+	cfg          MemberConfig
+	core         *Core
+	inbox        chan *schema.ConsensusMessage
+	proposals    chan proposal
+	readRequests chan readRequest
+	calls        chan func()
+	stop         chan struct{}
+	done         chan struct{}
+	stopOnce     sync.Once
+
+	// The fields below are used by the goroutine of run only.
+	pending map[uint64]proposal
 	reads   map[uint64]chan outcome
-	// ready reads are answered once applied reaches their index.
-	readyReads []ReadState
-	nextRead   uint64
-	applied    uint64
-	snapshotAt uint64
-	roomErr    error
-	ticks      int
-	// rounds are this leader's heartbeat rounds. stepped is when the loop last took something
-	// in: a round that it begins by that waits for the disk before it is sent.
-	rounds  rounds
-	stepped time.Time
-	joins   map[string]*schema.Member
+	// readyReads are confirmed and are served once applied reaches their index.
+	readyReads        []ReadState
+	nextRead          uint64
+	applied           uint64
+	lastSnapshotIndex uint64
+	diskErr           error
+	ticks             int
+	// rounds are this leader's heartbeat rounds. lastStepAt is the time of the
+	// last input to the core. A heartbeat round begins at that time: it waits for
+	// the disk sync before it is sent.
+	rounds       rounds
+	lastStepAt   time.Time
+	joinRequests map[string]*schema.Member
 
 	mu sync.Mutex
 	// status is guarded by mu.
@@ -125,7 +126,7 @@
 	err error
 }
 
-// NewMember starts a member from its storage, which must be formed or empty,
+// NewMember starts a member from its storage, which must be bootstrapped or empty,
 // and restores the state machine from the stored snapshot.
 func NewMember(cfg MemberConfig) (*Member, error) {
 	if cfg.Tick == 0 {
@@ -150,17 +151,17 @@
 		core: NewCore(CoreConfig{
 			ID: cfg.Storage.ID(), Saved: saved, ElectionTicks: cfg.ElectionTicks, Random: cfg.Random,
 		}),
-		inbox:      make(chan *schema.ConsensusMessage, inboxSize),
-		proposals:  make(chan proposal, inboxSize),
-		readsIn:    make(chan readRequest, inboxSize),
-		calls:      make(chan func(), 1),
-		stop:       make(chan struct{}),
-		done:       make(chan struct{}),
-		waiting:    map[uint64]proposal{},
-		reads:      map[uint64]chan outcome{},
-		joins:      map[string]*schema.Member{},
-		applied:    saved.Snapshot.GetIndex(),
-		snapshotAt: saved.Snapshot.GetIndex(),
+		inbox:             make(chan *schema.ConsensusMessage, queueSize),
+		proposals:         make(chan proposal, queueSize),
+		readRequests:      make(chan readRequest, queueSize),
+		calls:             make(chan func(), 1),
+		stop:              make(chan struct{}),
+		done:              make(chan struct{}),
+		pending:           map[uint64]proposal{},
+		reads:             map[uint64]chan outcome{},
+		joinRequests:      map[string]*schema.Member{},
+		applied:           saved.Snapshot.GetIndex(),
+		lastSnapshotIndex: saved.Snapshot.GetIndex(),
 	}
 	m.publish()
 	ticker := time.NewTicker(cfg.Tick)
@@ -168,7 +169,7 @@
 		defer close(m.done)
 		defer ticker.Stop()
 		err := m.run(ticker.C)
-		m.abandon(ErrStopped)
+		m.failPending(ErrStopped)
 		m.mu.Lock()
 		m.err = err
 		m.mu.Unlock()
@@ -176,25 +177,26 @@
 	return m, nil
 }
 
-// Done is closed when the member has stopped; Err then tells why.
+// Done returns a channel that is closed when the member has stopped. Err then
+// returns the cause.
 func (m *Member) Done() <-chan struct{} { return m.done }
 
-// Err returns nil unless the member stopped because of an error. An error of
-// the disk must end the process: what was synced is no longer known.
+// Err returns nil unless the member stopped because of an error. A disk error must
+// end the process: it is no longer known which data is synced.
 func (m *Member) Err() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.err
 }
 
-// Stop ends the member. It does not close the storage.
+// Stop stops the member. It does not close the storage.
 func (m *Member) Stop() {
 	m.stopOnce.Do(func() { close(m.stop) })
 	<-m.done
 }
 
-// Step takes in a message of another member. It drops the message when too
-// many wait; senders repeat what matters.
+// Step queues a message from another member. It drops the message if the queue is
+// full; the sender retransmits what is needed.
 func (m *Member) Step(msg *schema.ConsensusMessage) {
 	select {
 	case m.inbox <- msg:
@@ -202,9 +204,9 @@
 	}
 }
 
-// Propose commits a command and returns what Apply made of it and the index.
-// ErrNotLeader, ErrBusy, ErrDiskFull and ErrOverwritten prove that it is not
-// committed. After any other error it may still be.
+// Propose commits a command and returns the result of Apply and the index.
+// ErrNotLeader, ErrBusy, ErrDiskFull and ErrOverwritten prove that the command is
+// not committed. After any other error it may or may not be committed.
 func (m *Member) Propose(ctx context.Context, data []byte) (any, uint64, error) {
 	p := proposal{data: data, reply: make(chan outcome, 1)}
 	select {
@@ -218,12 +220,12 @@
 	return o.result, o.index, err
 }
 
-// Read returns an index that is applied here and that covers everything
-// acknowledged before the call, confirmed by a quorum.
+// Read returns an index, confirmed by a quorum, that covers everything acknowledged
+// before the call and that this member has applied.
 func (m *Member) Read(ctx context.Context) (uint64, error) {
 	r := readRequest{reply: make(chan outcome, 1)}
 	select {
-	case m.readsIn <- r:
+	case m.readRequests <- r:
 	case <-m.done:
 		return 0, ErrStopped
 	case <-ctx.Done():
@@ -238,7 +240,7 @@
 	case o := <-reply:
 		return o, o.err
 	case <-m.done:
-		// The reply may have come together with the end.
+		// The reply may have been sent just before the member stopped.
 		select {
 		case o := <-reply:
 			return o, o.err
@@ -250,23 +252,23 @@
 	}
 }
 
-// Unreachable tells that messages to a member were lost.
+// Unreachable reports that messages to a member were lost.
 func (m *Member) Unreachable(id uint64) {
-	m.call(func() { m.core.Unreachable(id) })
+	m.runInLoop(func() { m.core.Unreachable(id) })
 }
 
-// TransferLeadership hands leadership to another voter, if there is one.
+// TransferLeadership starts a leadership transfer to another voter, if there is one.
 func (m *Member) TransferLeadership() {
-	m.call(func() { m.core.TransferLeadership() })
+	m.runInLoop(func() { m.core.TransferLeadership() })
 }
 
-// Join asks the leader to take a host's new disk in: as a learner first, then
-// in place of the host's old member.
+// Join requests that the leader adds the member of a host's new disk: first as a
+// learner, then as a voter in place of the host's old member.
 func (m *Member) Join(member *schema.Member) {
-	m.call(func() { m.joins[member.GetHost()] = member })
+	m.runInLoop(func() { m.joinRequests[member.GetHost()] = member })
 }
 
-func (m *Member) call(f func()) {
+func (m *Member) runInLoop(f func()) {
 	select {
 	case m.calls <- f:
 	case <-m.done:
@@ -284,21 +286,22 @@
 			m.core.Step(msg)
 		case p := <-m.proposals:
 			m.propose(p)
-		case r := <-m.readsIn:
+		case r := <-m.readRequests:
 			m.read(r)
 		case f := <-m.calls:
 			f()
 		}
-		m.stepped = time.Now()
-		m.drain()
+		m.lastStepAt = time.Now()
+		m.stepQueued()
 		if err := m.process(); err != nil {
 			return err
 		}
 	}
 }
 
-// drain takes in what else is there, so that one sync serves all of it.
-func (m *Member) drain() {
+// stepQueued processes further queued messages and proposals, so that one sync
+// covers all of them.
+func (m *Member) stepQueued() {
 	for range batchLimit {
 		select {
 		case msg := <-m.inbox:
@@ -314,17 +317,17 @@
 func (m *Member) tick() {
 	m.core.Tick()
 	m.ticks++
-	if m.ticks%roomTicks == 1 {
-		m.roomErr = m.cfg.Storage.CheckFreeSpace()
+	if m.ticks%diskCheckTicks == 1 {
+		m.diskErr = m.cfg.Storage.CheckFreeSpace()
 	}
 	if m.core.Role() == RoleLeader {
-		m.tendMembership()
+		m.reconcileMembership()
 	}
 }
 
 func (m *Member) propose(p proposal) {
-	if m.roomErr != nil {
-		p.reply <- outcome{err: m.roomErr}
+	if m.diskErr != nil {
+		p.reply <- outcome{err: m.diskErr}
 		return
 	}
 	index, term, err := m.core.Propose(p.data)
@@ -333,7 +336,7 @@
 		return
 	}
 	p.term = term
-	m.waiting[index] = p
+	m.pending[index] = p
 }
 
 func (m *Member) read(r readRequest) {
@@ -345,7 +348,7 @@
 	m.reads[m.nextRead] = r.reply
 }
 
-// process does all work that the core has ready.
+// process performs all pending work of the core.
 func (m *Member) process() error {
 	for m.core.HasReady() {
 		r := m.core.Ready()
@@ -367,7 +370,7 @@
 		}
 	}
 	if m.core.Role() != RoleLeader {
-		m.abandon(ErrLeaderLost)
+		m.failPending(ErrLeaderLost)
 	}
 	m.publish()
 	return nil
@@ -378,7 +381,7 @@
 		return errors.Newf("restore snapshot %d: %w", s.GetIndex(), err)
 	}
 	m.applied = s.GetIndex()
-	m.snapshotAt = s.GetIndex()
+	m.lastSnapshotIndex = s.GetIndex()
 	return nil
 }
 
@@ -391,7 +394,7 @@
 		byMember[msg.GetTo()] = append(byMember[msg.GetTo()], msg)
 	}
 	for id, batch := range byMember {
-		if to := m.find(id); to != nil {
+		if to := m.memberByID(id); to != nil {
 			m.cfg.Send(to, batch)
 		}
 	}
@@ -400,15 +403,17 @@
 func (m *Member) fillSnapshot(msg *schema.ConsensusMessage) {
 	s, err := m.cfg.Storage.Snapshot()
 	if err != nil {
-		// The receiver ignores a snapshot of index 0; the next try reports.
+		// The receiver ignores a snapshot with index 0, and the snapshot is sent
+		// again after a timeout.
 		return
 	}
 	msg.Snapshot = s
 }
 
-// find also knows members whose addition is not in force here yet: their
-// replies must reach the leader.
-func (m *Member) find(id uint64) *schema.Member {
+// memberByID returns the member with an id. For a member that is not in the
+// current membership it returns a member with the id alone: replies must reach a
+// leader that this member does not know from its log yet.
+func (m *Member) memberByID(id uint64) *schema.Member {
 	for _, member := range m.core.Membership().GetMembers() {
 		if member.GetId() == id {
 			return member
@@ -426,11 +431,11 @@
 			m.cfg.StateMachine.Advance(e.GetIndex())
 		}
 		m.applied = e.GetIndex()
-		p, ok := m.waiting[e.GetIndex()]
+		p, ok := m.pending[e.GetIndex()]
 		if !ok {
 			continue
 		}
-		delete(m.waiting, e.GetIndex())
+		delete(m.pending, e.GetIndex())
 		if p.term != e.GetTerm() {
 			p.reply <- outcome{err: ErrOverwritten}
 			continue
@@ -440,10 +445,10 @@
 }
 
 func (m *Member) answerReads() {
-	kept := m.readyReads[:0]
+	remaining := m.readyReads[:0]
 	for _, r := range m.readyReads {
 		if r.Index > m.applied {
-			kept = append(kept, r)
+			remaining = append(remaining, r)
 			continue
 		}
 		if reply, ok := m.reads[r.ID]; ok {
@@ -451,14 +456,14 @@
 			delete(m.reads, r.ID)
 		}
 	}
-	m.readyReads = kept
+	m.readyReads = remaining
 }
 
-// abandon answers what can no longer be confirmed here.
-func (m *Member) abandon(err error) {
-	for index, p := range m.waiting {
+// failPending fails all pending proposals and reads with err.
+func (m *Member) failPending(err error) {
+	for index, p := range m.pending {
 		p.reply <- outcome{err: err}
-		delete(m.waiting, index)
+		delete(m.pending, index)
 	}
 	for id, reply := range m.reads {
 		reply <- outcome{err: err}
@@ -468,7 +473,7 @@
 }
 
 func (m *Member) snapshot() error {
-	if m.applied < m.snapshotAt+m.cfg.SnapshotAfter {
+	if m.applied < m.lastSnapshotIndex+m.cfg.SnapshotAfter {
 		return nil
 	}
 	data, err := m.cfg.StateMachine.Snapshot()
@@ -485,7 +490,7 @@
 	if err := m.cfg.Storage.SaveSnapshot(s); err != nil {
 		return errors.Newf("the snapshot could not be synced: %w", err)
 	}
-	m.snapshotAt = m.applied
-	m.core.Compact(m.applied - min(m.applied, m.cfg.SnapshotAfter/keepDivisor))
+	m.lastSnapshotIndex = m.applied
+	m.core.Compact(m.applied - min(m.applied, m.cfg.SnapshotAfter/retainedEntriesDivisor))
 	return nil
 }
--- a/internal/consensus/member_test.go
+++ b/internal/consensus/member_test.go
@@ -17,14 +17,15 @@
 	"fennelyard/internal/schema"
 )
 
-// group is members with real storages and a network that a test can cut.
+// group is a group of members with real storages and a simulated network from
+// which a test can disconnect members.
 type group struct {
-	t       testing.TB
-	first   *schema.Membership
-	mu      sync.Mutex
-	members map[uint64]*groupMember
-	cut     map[uint64]bool
-	tick    time.Duration
+	t          testing.TB
+	membership *schema.Membership
+	mu         sync.Mutex
+	members    map[uint64]*groupMember
+	cut        map[uint64]bool
+	tick       time.Duration
 }
 
 type groupMember struct {
@@ -37,11 +38,11 @@
 }
 
 func newGroup(t testing.TB, size int, tick time.Duration) *group {
-	g := &group{t: t, first: &schema.Membership{}, members: map[uint64]*groupMember{}, cut: map[uint64]bool{}, tick: tick}
+	g := &group{t: t, membership: &schema.Membership{}, members: map[uint64]*groupMember{}, cut: map[uint64]bool{}, tick: tick}
 	for i := range size {
-		g.first.Members = append(g.first.Members, &schema.Member{Id: uint64(i + 1), Host: fmt.Sprint("host-", i+1)})
+		g.membership.Members = append(g.membership.Members, &schema.Member{Id: uint64(i + 1), Host: fmt.Sprint("host-", i+1)})
 	}
-	for _, m := range g.first.GetMembers() {
+	for _, m := range g.membership.GetMembers() {
 		g.start(m.GetId(), t.TempDir())
 	}
 	return g
@@ -51,39 +52,39 @@
 	s, err := consensus.OpenStorage(consensus.StorageConfig{Folder: folder, Group: 1, NewID: func() uint64 { return id }})
 	require.NoError(g.t, err)
 	if formed, err := s.Membership(); err == nil && formed == nil {
-		require.NoError(g.t, s.Bootstrap(g.first))
+		require.NoError(g.t, s.Bootstrap(g.membership))
 	}
-	x := &groupMember{storage: s, folder: folder}
+	member := &groupMember{storage: s, folder: folder}
 	random := rand.New(rand.NewSource(int64(id)))
-	x.Member, err = consensus.NewMember(consensus.MemberConfig{
+	member.Member, err = consensus.NewMember(consensus.MemberConfig{
 		Group: 1, Storage: s, Tick: g.tick, SnapshotAfter: 300, Random: random.Intn,
 		Send: func(to *schema.Member, messages []*schema.ConsensusMessage) { g.send(id, to.GetId(), messages) },
 		StateMachine: consensus.StateMachine{
 			Apply: func(_ uint64, data []byte) any {
-				x.mu.Lock()
-				defer x.mu.Unlock()
-				x.applied = append(x.applied, string(data))
-				return len(x.applied)
+				member.mu.Lock()
+				defer member.mu.Unlock()
+				member.applied = append(member.applied, string(data))
+				return len(member.applied)
 			},
 			Advance: func(uint64) {},
 			Snapshot: func() ([]byte, error) {
-				x.mu.Lock()
-				defer x.mu.Unlock()
-				return []byte(fmt.Sprint(len(x.applied))), nil
+				member.mu.Lock()
+				defer member.mu.Unlock()
+				return []byte(fmt.Sprint(len(member.applied))), nil
 			},
 			Restore: func(data []byte) error {
-				x.mu.Lock()
-				defer x.mu.Unlock()
+				member.mu.Lock()
+				defer member.mu.Unlock()
 				n := 0
 				_, _ = fmt.Sscan(string(data), &n)
-				x.applied = make([]string, n)
+				member.applied = make([]string, n)
 				return nil
 			},
 		},
 	})
 	require.NoError(g.t, err)
 	g.mu.Lock()
-	g.members[id] = x
+	g.members[id] = member
 	g.mu.Unlock()
 }
 
@@ -115,7 +116,7 @@
 	}
 }
 
-// leader waits for one that has committed in its term.
+// leader waits for a connected leader that has committed an entry in its term.
 func (g *group) leader() uint64 {
 	for {
 		g.mu.Lock()
@@ -130,7 +131,7 @@
 	}
 }
 
-func (m *groupMember) length() int {
+func (m *groupMember) appliedCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.applied)
@@ -143,39 +144,39 @@
 	return err
 }
 
-// TestMemberCatchesUp: a member is away while more changes go by than the log
-// keeps. It comes back, is sent a snapshot and the rest, and has applied as much
-// as the others.
+// A member is stopped while more commands are committed than the log retains. After
+// its restart it is sent a snapshot and the remaining entries, and it applies as
+// many commands as the others.
 func TestMemberCatchesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 3, 50*time.Millisecond)
 		defer g.close()
 		leader := g.leader()
-		away := leader%3 + 1
-		folder := g.stop(away)
+		stopped := leader%3 + 1
+		folder := g.stop(stopped)
 		for i := range 1000 {
 			require.NoError(t, g.propose(leader, fmt.Sprint("change ", i)))
 		}
-		began := time.Now()
-		g.start(away, folder)
-		for g.members[away].length() < 1000 {
+		startedAt := time.Now()
+		g.start(stopped, folder)
+		for g.members[stopped].appliedCount() < 1000 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		t.Logf("caught up after 1000 missed changes in %v of simulated time", time.Since(began))
-		assert.Equal(t, 1000, g.members[away].length())
+		t.Logf("caught up after 1000 missed changes in %v of simulated time", time.Since(startedAt))
+		assert.Equal(t, 1000, g.members[stopped].appliedCount())
 	})
 }
 
-// TestTimeWithoutALeader measures, in simulated time, how long nobody leads
-// after the leader is killed, and after it hands over in a planned stop.
-func TestTimeWithoutALeader(t *testing.T) {
+// TestTimeWithoutLeader measures, in simulated time, how long there is no leader
+// after the leader fails, and after it transfers leadership in a planned stop.
+func TestTimeWithoutLeader(t *testing.T) {
 	for _, planned := range []bool{false, true} {
 		t.Run(fmt.Sprintf("planned=%t", planned), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := newGroup(t, 3, 50*time.Millisecond)
 				defer g.close()
 				leader := g.leader()
-				began := time.Now()
+				startedAt := time.Now()
 				if planned {
 					g.members[leader].TransferLeadership()
 					time.Sleep(time.Millisecond)
@@ -183,22 +184,22 @@
 				g.stop(leader)
 				next := g.leader()
 				assert.NotEqual(t, leader, next)
-				took := time.Since(began)
-				t.Logf("a new leader after %v", took)
+				elapsed := time.Since(startedAt)
+				t.Logf("a new leader after %v", elapsed)
 				limit := 2 * time.Second
 				if planned {
 					limit = 200 * time.Millisecond
 				}
-				assert.Less(t, took, limit)
+				assert.Less(t, elapsed, limit)
 			})
 		})
 	}
 }
 
-// TestCutOffLeaderAnswersNobody: the leader is cut off without a word. Reads
-// and proposals there fail instead of answering from the past, and what the
-// others commit meanwhile is there after the cut.
-func TestCutOffLeaderAnswersNobody(t *testing.T) {
+// The leader is partitioned from the others. Its reads and proposals must fail
+// instead of returning stale results, and after the partition it must have the
+// commands that the others committed meanwhile.
+func TestPartitionedLeaderServesNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGroup(t, 3, 50*time.Millisecond)
 		defer g.close()
@@ -217,7 +218,7 @@
 		g.mu.Lock()
 		g.cut[old] = false
 		g.mu.Unlock()
-		for g.members[old].length() < g.members[next].length() {
+		for g.members[old].appliedCount() < g.members[next].appliedCount() {
 			time.Sleep(50 * time.Millisecond)
 		}
 		assert.Equal(t, g.members[next].applied, g.members[old].applied)
@@ -225,8 +226,9 @@
 	})
 }
 
-// BenchmarkCommit gives the commits per second of many proposers with synced
-// logs, beside a loop that only appends to a file and syncs on the same disk.
+// BenchmarkCommit measures the commits per second of concurrent proposers with
+// synced logs. For comparison, plain-sync-loop only appends to a file and syncs it
+// on the same disk.
 func BenchmarkCommit(b *testing.B) {
 	for _, size := range []int{1, 3, 5} {
 		for _, proposers := range []int{1, 64} {
--- a/internal/consensus/pages.go
+++ b/internal/consensus/pages.go
@@ -8,23 +8,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The places of bbolt's two meta pages, by its documented file format.
+// The layout of bbolt's two meta pages, as documented in its file format.
 const (
-	pageHeader     = 16
-	metaMagic      = 0xED0CDAED
-	metaSize       = 64
-	metaSumAt      = 56
-	metaPageSizeAt = 8
-	metaPagesAt    = 40
-	maxPageSize    = 64 << 10
+	pageHeaderSize      = 16
+	metaMagic           = 0xED0CDAED
+	metaSize            = 64
+	metaChecksumOffset  = 56
+	metaPageSizeOffset  = 8
+	metaPageCountOffset = 40
+	maxPageSize         = 64 << 10
 )
 
-// checkFile refuses what bbolt would take silently: an empty file, which it
-// fills in as a new database; a damaged meta page, behind which it goes back to
-// the state before the last transaction, and so forgets a vote or an
-// acknowledged entry; and a file that is shorter than its pages, on which it
-// faults. A file that is not there is a new disk.
-func checkFile(path string) error {
+// checkDatabaseFile rejects files that bbolt would accept or fault on: an empty
+// file, which it initializes as a new database; a corrupt meta page, for which it
+// falls back to the state before the last transaction and so loses a vote or an
+// acknowledged entry; and a file that is shorter than its pages, on which it faults.
+// A missing file means a new disk.
+func checkDatabaseFile(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -35,7 +35,7 @@
 	defer func() { _ = f.Close() }()
 	info, err := f.Stat()
 	if err != nil {
-		return errors.Newf("look at file: %w", err)
+		return errors.Newf("stat file: %w", err)
 	}
 	first, err := readMeta(f, 0)
 	if err != nil {
@@ -46,7 +46,7 @@
 		return errors.Newf("second meta page: %w", err)
 	}
 	if need := max(first.pages, second.pages) * uint64(first.pageSize); uint64(info.Size()) < need {
-		return errors.Newf("%d of %d bytes are there: %w", info.Size(), need, ErrCorrupt)
+		return errors.Newf("file has %d of %d bytes: %w", info.Size(), need, ErrCorrupt)
 	}
 	return nil
 }
@@ -57,18 +57,18 @@
 }
 
 func readMeta(f *os.File, at int64) (metaPage, error) {
-	buf := make([]byte, pageHeader+metaSize)
+	buf := make([]byte, pageHeaderSize+metaSize)
 	if _, err := f.ReadAt(buf, at); err != nil {
 		return metaPage{}, errors.Newf("%v: %w", err, ErrCorrupt)
 	}
-	meta := buf[pageHeader:]
+	meta := buf[pageHeaderSize:]
 	sum := fnv.New64a()
-	_, _ = sum.Write(meta[:metaSumAt])
+	_, _ = sum.Write(meta[:metaChecksumOffset])
 	m := metaPage{
-		pageSize: binary.NativeEndian.Uint32(meta[metaPageSizeAt:]),
-		pages:    binary.NativeEndian.Uint64(meta[metaPagesAt:]),
+		pageSize: binary.NativeEndian.Uint32(meta[metaPageSizeOffset:]),
+		pages:    binary.NativeEndian.Uint64(meta[metaPageCountOffset:]),
 	}
-	if binary.NativeEndian.Uint32(meta) != metaMagic || sum.Sum64() != binary.NativeEndian.Uint64(meta[metaSumAt:]) ||
+	if binary.NativeEndian.Uint32(meta) != metaMagic || sum.Sum64() != binary.NativeEndian.Uint64(meta[metaChecksumOffset:]) ||
 		m.pageSize == 0 || m.pageSize > maxPageSize || m.pages > 1<<40 {
 		return metaPage{}, ErrCorrupt
 	}
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -6,7 +6,7 @@
 	"fennelyard/internal/schema"
 )
 
-// Unreachable tells the leader that messages to a member were lost.
+// Unreachable reports to the leader that messages to a member were lost.
 func (c *Core) Unreachable(id uint64) {
 	if p, ok := c.progress[id]; ok && id != c.cfg.ID {
 		p.probe()
@@ -21,23 +21,23 @@
 	c.elapsed = 0
 }
 
-// refreshProgress brings the progress in line with the membership in force.
+// refreshProgress adds and removes progress to match the current membership.
 func (c *Core) refreshProgress() {
-	kept := map[uint64]*progress{}
+	remaining := map[uint64]*progress{}
 	for _, m := range c.Membership().GetMembers() {
 		p, ok := c.progress[m.GetId()]
 		if !ok {
 			p = &progress{next: c.log.last() + 1, active: true}
 		}
-		kept[m.GetId()] = p
+		remaining[m.GetId()] = p
 	}
-	if p, ok := kept[c.cfg.ID]; ok {
+	if p, ok := remaining[c.cfg.ID]; ok {
 		p.match, p.next = c.persisted, c.log.last()+1
 	}
-	c.progress = kept
+	c.progress = remaining
 }
 
-func (c *Core) appendOwn(kind schema.EntryKind, data []byte) uint64 {
+func (c *Core) appendEntry(kind schema.EntryKind, data []byte) uint64 {
 	e := &schema.LogEntry{Index: c.log.last() + 1, Term: c.term, Kind: kind, Data: data}
 	c.log.add(e)
 	c.uncommittedBytes += len(data) + entryOverhead
@@ -56,7 +56,8 @@
 	}
 }
 
-// broadcastHeartbeat also frees members whose last append was lost.
+// broadcastHeartbeat begins a heartbeat round. It also resumes replication to
+// members whose last append was lost.
 func (c *Core) broadcastHeartbeat() {
 	c.round++
 	for _, m := range c.Membership().GetMembers() {
@@ -65,7 +66,7 @@
 			continue
 		}
 		p := c.progress[id]
-		c.unstick(p)
+		c.probeStalled(p)
 		if p.state == progressProbe {
 			p.paused = false
 			c.sendAppend(id, true)
@@ -78,31 +79,32 @@
 	}
 }
 
-// matchTerm may be 0 for a compacted index: the member has it committed then,
-// and answers without looking at the term.
+// matchTerm returns the term of the entry at p.match. It is 0 for a compacted
+// index: the member has committed that entry and replies without checking the term.
 func (c *Core) matchTerm(p *progress) uint64 {
 	t, _ := c.log.term(p.match)
 	return t
 }
 
-// unstick sends again what got no answer: lost appends leave no other trace.
-func (c *Core) unstick(p *progress) {
-	patience := c.cfg.ElectionTicks
+// probeStalled probes a member again if it has made no progress for a timeout. Lost
+// appends are detected in no other way.
+func (c *Core) probeStalled(p *progress) {
+	timeout := c.cfg.ElectionTicks
 	if p.state == progressSnapshot {
-		patience *= snapshotPatience
+		timeout *= snapshotTimeoutElections
 	}
 	if p.state == progressProbe || p.state == progressStream && len(p.inflight) == 0 {
-		p.stalled = 0
+		p.stalledTicks = 0
 		return
 	}
-	p.stalled += c.cfg.HeartbeatTicks
-	if p.stalled >= patience {
+	p.stalledTicks += c.cfg.HeartbeatTicks
+	if p.stalledTicks >= timeout {
 		p.probe()
 	}
 }
 
-// sendAppend sends what a member lacks, as far as flow control lets it. With
-// empty, a message leaves even when there is nothing new.
+// sendAppend sends missing entries to a member within its flow control limits. With
+// empty, it sends a message even if there are no new entries.
 func (c *Core) sendAppend(id uint64, empty bool) {
 	p := c.progress[id]
 	if p.blocked(c.cfg.Inflight) {
@@ -133,7 +135,7 @@
 
 func (c *Core) sendSnapshot(id uint64, p *progress) {
 	p.state = progressSnapshot
-	p.stalled = 0
+	p.stalledTicks = 0
 	c.send(&schema.ConsensusMessage{
 		Kind: schema.MessageKind_MESSAGE_KIND_SNAPSHOT, To: id, Term: c.term, Round: c.round,
 		Snapshot: &schema.SnapshotState{Index: c.log.offset, Term: c.log.offsetTerm},
@@ -146,7 +148,7 @@
 		Index: m.GetIndex(), Round: m.GetRound(),
 	}
 	if m.GetIndex() < c.log.commit {
-		// What is committed here agrees with any leader's log.
+		// Committed entries are part of every leader's log.
 		reply.Index = c.log.commit
 		c.send(reply)
 		return
@@ -154,7 +156,7 @@
 	t, ok := c.log.term(m.GetIndex())
 	if !ok || t != m.GetLogTerm() {
 		reply.Reject = true
-		reply.Hint = c.agreementHint(m)
+		reply.Hint = c.conflictHint(m)
 		c.send(reply)
 		return
 	}
@@ -167,8 +169,9 @@
 	c.send(reply)
 }
 
-// agreementHint passes over all entries of terms above the leader's at once.
-func (c *Core) agreementHint(m *schema.ConsensusMessage) uint64 {
+// conflictHint returns the index at which the leader should probe next. It skips
+// all entries with a term higher than that of the leader's entry at once.
+func (c *Core) conflictHint(m *schema.ConsensusMessage) uint64 {
 	hint := min(m.GetIndex()-1, c.log.last())
 	for hint > c.log.commit {
 		t, ok := c.log.term(hint)
@@ -204,7 +207,7 @@
 		return
 	}
 	p.active = true
-	p.heard = 0
+	p.silentTicks = 0
 	if m.GetRound() > p.round {
 		p.round = m.GetRound()
 		c.confirmReads()
@@ -216,20 +219,20 @@
 	if m.GetIndex() > c.log.last() {
 		return
 	}
-	advanced := p.acked(m.GetIndex())
+	advanced := p.acknowledge(m.GetIndex())
 	switch {
 	case p.state == progressProbe, p.state == progressSnapshot && p.match >= c.log.offset:
 		p.state = progressStream
 		p.next = p.match + 1
 		p.inflight = nil
 	case p.state == progressSnapshot && advanced:
-		// The log was compacted past the snapshot while it was on its way.
+		// The log was compacted past the snapshot while it was in flight.
 		p.probe()
 	}
 	if advanced {
 		c.advanceCommit()
 	}
-	// Committing the removal of this very leader ends its term.
+	// The leader steps down once its own removal is committed.
 	if c.role != RoleLeader {
 		return
 	}
@@ -238,7 +241,7 @@
 }
 
 func (c *Core) handleReject(m *schema.ConsensusMessage, p *progress) {
-	// A late reject of something that was accepted since says nothing.
+	// Ignore a delayed reject of an append that was accepted since.
 	if m.GetIndex() <= p.match {
 		return
 	}
@@ -262,8 +265,9 @@
 	}
 	slices.Sort(matches)
 	index := matches[len(matches)-c.quorum()]
-	// An entry of an earlier term on a quorum can still be overwritten; only
-	// one of this term commits it for good (the paper's figure 8).
+	// An entry of an earlier term that is stored on a quorum can still be
+	// overwritten. Only an entry of the current term commits it (figure 8 of the
+	// Raft paper).
 	if t, ok := c.log.term(index); index <= c.log.commit || !ok || t != c.term {
 		return
 	}
@@ -298,7 +302,7 @@
 		if acks < c.quorum() {
 			return
 		}
-		c.confirmed = append(c.confirmed, ReadState{ID: c.reads[0].id, Index: c.reads[0].index})
+		c.confirmedReads = append(c.confirmedReads, ReadState{ID: c.reads[0].id, Index: c.reads[0].index})
 		c.reads = c.reads[1:]
 	}
 }
--- a/internal/consensus/rounds.go
+++ b/internal/consensus/rounds.go
@@ -2,45 +2,47 @@
 
 import "time"
 
-// roundsMost bounds the heartbeat rounds that are remembered: a quorum that has answered
-// none of so many is lost, and the leader steps down long before.
-const roundsMost = 256
+// maxRounds bounds the number of recorded heartbeat rounds. A leader whose quorum
+// has acknowledged none of them has stepped down long before.
+const maxRounds = 256
 
-// rounds tells when a leader's heartbeat rounds began. When a quorum has answered one, the
-// leader was the leader at the moment at which it began: a leader that is frozen, or cut
-// off, and that takes itself for one, can't tell by its own word.
+// rounds records the start times of a leader's heartbeat rounds. Once a quorum has
+// acknowledged a round, the member was the leader at the start of that round. The
+// member's own role is no proof: a leader that was frozen or partitioned still
+// assumes that it leads.
 type rounds struct {
-	// began are rounds by ascending number: the last that a quorum has answered, where it is
-	// known, and those after it.
-	began []begunRound
+	// started are rounds by ascending number: the last one that a quorum has
+	// acknowledged, if known, and those after it.
+	started []startedRound
 }
 
-// begunRound is a heartbeat round and when it began, or a moment later.
-type begunRound struct {
+// startedRound is a heartbeat round and its start time, or a slightly later time.
+type startedRound struct {
 	number uint64
 	at     time.Time
 }
 
-// confirmed notes the last round that was begun, now where it is new, and returns when the
-// last one began that a quorum has answered; the zero time: none is known.
-func (r *rounds) confirmed(now time.Time, begun, answered uint64) time.Time {
-	if begun == 0 {
-		r.began = nil
+// confirmed records the last started round, with the time now if it is new, and
+// returns the start time of the last round that a quorum has acknowledged, or the
+// zero time if none is known.
+func (r *rounds) confirmed(now time.Time, started, acknowledged uint64) time.Time {
+	if started == 0 {
+		r.started = nil
 		return time.Time{}
 	}
-	if n := len(r.began); n == 0 || r.began[n-1].number < begun {
-		r.began = append(r.began, begunRound{begun, now})
+	if n := len(r.started); n == 0 || r.started[n-1].number < started {
+		r.started = append(r.started, startedRound{started, now})
 	}
-	if len(r.began) > roundsMost {
-		r.began = r.began[1:]
+	if len(r.started) > maxRounds {
+		r.started = r.started[1:]
 	}
-	// What was begun before the answered round is of no use any more; it is itself, until
-	// a later one is answered.
-	for len(r.began) > 1 && r.began[1].number <= answered {
-		r.began = r.began[1:]
+	// Rounds before the last acknowledged one are no longer needed. That one is
+	// needed until a later round is acknowledged.
+	for len(r.started) > 1 && r.started[1].number <= acknowledged {
+		r.started = r.started[1:]
 	}
-	if r.began[0].number > answered {
+	if r.started[0].number > acknowledged {
 		return time.Time{}
 	}
-	return r.began[0].at
+	return r.started[0].at
 }
--- a/internal/consensus/safety_test.go
+++ b/internal/consensus/safety_test.go
@@ -9,102 +9,104 @@
 
 const stepsPerSchedule = 250
 
-// TestNothingAcknowledgedIsLost drives groups through arbitrary orders of lost,
-// late, doubled and reordered messages, cuts in one direction, freezes, crashes
-// in the middle of a sync, compaction and lost disks. What operators and entries
-// were told must stay true: one leader per term, one log, no acknowledged entry
-// lost, no read behind an acknowledgement. After the last fault the group works.
+// TestNothingAcknowledgedIsLost runs groups through random sequences of lost,
+// delayed, duplicated and reordered messages, one-way network cuts, freezes, crashes
+// during a sync, compaction and lost disks. It checks that there is one leader per
+// term and one log, that no acknowledged entry is lost, that no read returns an
+// index below an earlier acknowledgement, and that the group makes progress after
+// the last fault.
 func TestNothingAcknowledgedIsLost(t *testing.T) {
-	var total worldStats
+	var total clusterStats
 	for i := range *schedules {
-		w := newWorld(t, *firstSeed+int64(i), 3+2*(i%2))
+		c := newCluster(t, *firstSeed+int64(i), 3+2*(i%2))
 		for range stepsPerSchedule {
-			w.act()
+			c.randomAction()
 		}
-		w.settleAndCheck()
-		total.add(w.stats)
+		c.settleAndCheck()
+		total.add(c.stats)
 	}
 	t.Logf("%d schedules of %d steps: %+v", *schedules, stepsPerSchedule, total)
 	assert.Greater(t, total.elections, *schedules, "the schedules reach elections")
 	assert.Greater(t, total.snapshots, *schedules/10, "the schedules reach snapshots")
 }
 
-// act takes one step: mostly time and work, now and then a fault or its end.
-func (w *world) act() {
-	n := w.nodes[w.ids[w.random.Intn(len(w.ids))]]
+// randomAction performs one random step: mostly ticks, proposals and reads,
+// sometimes the start or the end of a fault.
+func (c *cluster) randomAction() {
+	n := c.nodes[c.ids[c.random.Intn(len(c.ids))]]
 	up := !n.down && !n.frozen
-	switch action := w.random.Intn(100); {
+	switch action := c.random.Intn(100); {
 	case action < 30:
-		for range 1 + w.random.Intn(12) {
-			w.step()
-			w.tend()
+		for range 1 + c.random.Intn(12) {
+			c.step()
+			c.reconcileMembership()
 		}
 	case action < 55:
-		w.withLeader(w.propose)
+		c.withLeader(c.propose)
 	case action < 60:
-		w.withLeader(w.read)
+		c.withLeader(c.read)
 	case action < 63 && up:
-		w.propose(n)
+		c.propose(n)
 	case action < 66 && up:
-		w.read(n)
+		c.read(n)
 	case action < 69 && up:
-		w.crash(n, w.random.Intn(2) == 0)
+		c.crash(n, c.random.Intn(2) == 0)
 	case action < 76 && n.down:
-		w.start(n)
+		c.start(n)
 	case action < 79 && up:
 		n.frozen = true
 	case action < 84:
 		n.frozen = false
 	case action < 87:
-		w.blocked[[2]uint64{n.id, w.ids[w.random.Intn(len(w.ids))]}] = true
+		c.cutLinks[[2]uint64{n.id, c.ids[c.random.Intn(len(c.ids))]}] = true
 	case action < 89:
-		w.cutOff(n)
+		c.cutOff(n)
 	case action < 93:
-		w.blocked = map[[2]uint64]bool{}
+		c.cutLinks = map[[2]uint64]bool{}
 	case action < 95:
-		w.loss = []float64{0, 0.1, 0.4}[w.random.Intn(3)]
-		w.twice = []float64{0, 0.2}[w.random.Intn(2)]
-		w.slow = []int{1, 3, 15}[w.random.Intn(3)]
+		c.lossRate = []float64{0, 0.1, 0.4}[c.random.Intn(3)]
+		c.duplicateRate = []float64{0, 0.2}[c.random.Intn(2)]
+		c.maxDelay = []int{1, 3, 15}[c.random.Intn(3)]
 	case action < 98 && up:
-		w.compact(n)
+		c.compact(n)
 	case action < 99 && up:
 		n.core.TransferLeadership()
-		w.process(n, false)
-	case action < 100 && (w.stats.replaced == 0 || w.allVoters()):
-		// One lost disk at a time: its repair must be over before the next
-		// one, or a majority's memory is gone.
-		w.replace(n)
+		c.process(n, false)
+	case action < 100 && (c.stats.replaced == 0 || c.allVoters()):
+		// Only one disk is lost at a time. Its replacement must be complete
+		// before the next loss; otherwise a majority of the disks may be lost.
+		c.replace(n)
 	}
 }
 
-func (w *world) withLeader(do func(*node)) {
-	if n := w.leader(); n != nil {
+func (c *cluster) withLeader(do func(*node)) {
+	if n := c.leader(); n != nil {
 		do(n)
 	}
 }
 
-func (w *world) cutOff(n *node) {
-	for _, id := range w.ids {
-		w.blocked[[2]uint64{n.id, id}] = true
-		w.blocked[[2]uint64{id, n.id}] = true
+func (c *cluster) cutOff(n *node) {
+	for _, id := range c.ids {
+		c.cutLinks[[2]uint64{n.id, id}] = true
+		c.cutLinks[[2]uint64{id, n.id}] = true
 	}
 }
 
-func (w *world) settleAndCheck() {
-	w.heal(600)
-	leader := w.leader()
-	require.NotNil(w.t, leader, "seed %d: a leader after the last fault", w.seed)
-	acked := w.acked
-	w.propose(leader)
-	w.heal(60)
-	require.Greater(w.t, w.acked, acked, "seed %d: progress after the last fault", w.seed)
-	for _, id := range w.ids {
-		require.Equal(w.t, w.highest, w.nodes[id].applied, "seed %d: node %d catches up", w.seed, id)
+func (c *cluster) settleAndCheck() {
+	c.heal(600)
+	leader := c.leader()
+	require.NotNil(c.t, leader, "seed %d: a leader after the last fault", c.seed)
+	before := c.acknowledged
+	c.propose(leader)
+	c.heal(60)
+	require.Greater(c.t, c.acknowledged, before, "seed %d: progress after the last fault", c.seed)
+	for _, id := range c.ids {
+		require.Equal(c.t, c.lastCommitted, c.nodes[id].applied, "seed %d: node %d catches up", c.seed, id)
 	}
-	require.True(w.t, w.allVoters(), "seed %d: every host votes again: %v", w.seed, leader.core.Membership())
+	require.True(c.t, c.allVoters(), "seed %d: every host votes again: %v", c.seed, leader.core.Membership())
 }
 
-func (s *worldStats) add(o worldStats) {
+func (s *clusterStats) add(o clusterStats) {
 	s.commits += o.commits
 	s.elections += o.elections
 	s.crashes += o.crashes
@@ -113,15 +115,15 @@
 	s.reads += o.reads
 }
 
-// allVoters reports whether a leader's committed membership is exactly the
-// hosts of the world, all of them voters.
-func (w *world) allVoters() bool {
-	n := w.leader()
-	if n == nil || len(n.core.Membership().GetMembers()) != len(w.ids) || n.core.Commit() != n.core.Last() {
+// allVoters reports whether the leader's membership is committed and consists of
+// exactly the simulated nodes, all of them voters.
+func (c *cluster) allVoters() bool {
+	n := c.leader()
+	if n == nil || len(n.core.Membership().GetMembers()) != len(c.ids) || n.core.Commit() != n.core.Last() {
 		return false
 	}
 	for _, m := range n.core.Membership().GetMembers() {
-		if _, ok := w.nodes[m.GetId()]; !ok || m.GetLearner() {
+		if _, ok := c.nodes[m.GetId()]; !ok || m.GetLearner() {
 			return false
 		}
 	}
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -9,11 +9,12 @@
 	"fennelyard/internal/schema"
 )
 
-// quietElections is after how many election timeouts without an answer a voter is
-// told as silent: one lost message and its repeat take less than one.
-const quietElections = 2
+// silentElections is the number of election timeouts without a reply after which a
+// voter is reported as silent. One lost message and its retransmission take less
+// than one election timeout.
+const silentElections = 2
 
-// MemberStatus is what a member knows of itself.
+// MemberStatus is a snapshot of a member's state.
 type MemberStatus struct {
 	ID         uint64
 	Role       Role
@@ -22,30 +23,30 @@
 	LeaderHost string
 	Commit     uint64
 	Applied    uint64
-	// CommittedInTerm is true on a leader that has committed in its term.
+	// CommittedInTerm is true on a leader that has committed an entry of its term.
 	CommittedInTerm bool
-	// ConfirmedAt is the last moment at which a quorum is known to have taken this member for
-	// the leader; the zero time on other members.
+	// ConfirmedAt is the last time at which a quorum is known to have accepted this
+	// member as the leader; the zero time on other members.
 	ConfirmedAt time.Time
 	Membership  *schema.Membership
-	// SilentVoters names the hosts of voters that have not answered this leader for some
-	// time; empty on other members.
+	// SilentVoters are the hosts of voters that have not replied to this leader for
+	// silentElections election timeouts; empty on other members.
 	SilentVoters []string
 }
 
-// Status returns the member's latest status.
+// Status returns the member's last published status.
 func (m *Member) Status() MemberStatus {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.status
 }
 
-// publish makes what the member knows now its status, and tells of changes.
+// publish updates the status and calls the configured functions for changes.
 func (m *Member) publish() {
 	s := MemberStatus{
 		ID: m.cfg.Storage.ID(), Role: m.core.Role(), Term: m.core.Term(), Leader: m.core.Leader(),
 		Commit: m.core.Commit(), Applied: m.applied, CommittedInTerm: m.core.CommittedInTerm(),
-		ConfirmedAt: m.confirmed(),
+		ConfirmedAt: m.confirmedAt(),
 		Membership:  m.core.Membership(), SilentVoters: m.silentHosts(),
 	}
 	for _, member := range s.Membership.GetMembers() {
@@ -68,23 +69,25 @@
 	}
 }
 
-// confirmed is when a quorum last took this member for the leader.
-func (m *Member) confirmed() time.Time {
-	begun, answered := m.core.HeartbeatRounds()
-	return m.rounds.confirmed(m.stepped, begun, answered)
+// confirmedAt returns the last time at which a quorum confirmedAt this member as the
+// leader.
+func (m *Member) confirmedAt() time.Time {
+	started, acknowledged := m.core.HeartbeatRounds()
+	return m.rounds.confirmed(m.lastStepAt, started, acknowledged)
 }
 
-// silentHosts names the hosts of voters that a leader has not heard lately. Each of
-// them is a loss that the group no longer bears.
+// silentHosts returns the hosts of voters that have not replied to this leader for
+// silentElections election timeouts. Each of them reduces the number of further
+// failures that the group tolerates.
 func (m *Member) silentHosts() []string {
 	if m.core.Role() != RoleLeader {
 		return nil
 	}
 	var out []string
-	for _, x := range m.core.Membership().GetMembers() {
-		_, silent, ok := m.core.Match(x.GetId())
-		if ok && !x.GetLearner() && x.GetId() != m.cfg.Storage.ID() && silent > quietElections*m.core.cfg.ElectionTicks {
-			out = append(out, x.GetHost())
+	for _, member := range m.core.Membership().GetMembers() {
+		_, silentTicks, ok := m.core.Match(member.GetId())
+		if ok && !member.GetLearner() && member.GetId() != m.cfg.Storage.ID() && silentTicks > silentElections*m.core.cfg.ElectionTicks {
+			out = append(out, member.GetHost())
 		}
 	}
 	return out
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -18,27 +18,27 @@
 )
 
 var (
-	// ErrCorrupt says that the data folder holds something that was never
-	// written that way. The member must not start from it: it may have
-	// forgotten a vote or an acknowledged entry.
+	// ErrCorrupt is returned if the data folder contains data that was not written
+	// in that form. The member must not start from it: a vote or an acknowledged
+	// entry may be lost.
 	ErrCorrupt = errors.New("the data folder is damaged")
-	// ErrDiskFull says that too little room is left to take on more.
+	// ErrDiskFull is returned if the free disk space is below the reserve.
 	ErrDiskFull = errors.New("the disk of the leader is full")
 )
 
 const (
-	// FirstIndex is the index of the snapshot that every first member starts
+	// FirstIndex is the index of the snapshot that every initial member starts
 	// from. It is not 0, so that a member that joins later must be sent a
-	// snapshot, and with it the membership.
-	FirstIndex = 1
-	firstTerm  = 1
-	lockWait   = 2 * time.Second
-	folderMode = 0o750
-	fileMode   = 0o640
-	sumSize    = 4
-	indexSize  = 8
-	// defaultReserve is left free for elections and snapshots on a full disk.
-	defaultReserve = 64 << 20
+	// snapshot, which includes the membership.
+	FirstIndex   = 1
+	firstTerm    = 1
+	lockTimeout  = 2 * time.Second
+	folderMode   = 0o750
+	fileMode     = 0o640
+	checksumSize = 4
+	indexSize    = 8
+	// defaultReserveBytes is the default of StorageConfig.Reserve.
+	defaultReserveBytes = 64 << 20
 )
 
 var (
@@ -53,43 +53,44 @@
 
 // StorageConfig configures a Storage. Folder and NewID are required.
 type StorageConfig struct {
-	// Folder is the data folder; it is made when it is not there.
+	// Folder is the data folder. It is created if it does not exist.
 	Folder string
 	Group  uint64
-	// NewID makes a random id other than 0 for a new disk.
+	// NewID returns a random id other than 0 for a new disk.
 	NewID func() uint64
-	// FreeBytes tells the room left on the disk; nil: never full.
+	// FreeBytes returns the free space on the disk of a folder; nil means never
+	// full.
 	FreeBytes func(folder string) (uint64, error)
-	// Reserve is left free on the disk for elections and snapshots, in bytes;
-	// 0: 64 MiB.
+	// Reserve is the space in bytes that is left free on the disk for elections
+	// and snapshots; 0 means 64 MiB.
 	Reserve uint64
-	// BeforeWrite, where set, is called before each write, which is as slow as it: a disk
-	// that stalls.
+	// BeforeWrite, if set, is called before each write. It can block to simulate a
+	// stalled disk.
 	BeforeWrite func()
 }
 
-// Storage keeps what a member promised. Every method that writes returns only
-// after the sync. It is not safe for several goroutines, but for Room.
+// Storage persists the state of a member. Every method that writes returns only
+// after the sync. It is not safe for concurrent use, except for CheckFreeSpace.
 type Storage struct {
 	cfg StorageConfig
 	db  *bbolt.DB
 	id  uint64
 }
 
-// OpenStorage opens or makes the storage of a group's member. A new storage
-// has a new random id: a member that lost its disk cannot come back under the
-// identity whose votes it forgot. It fails with ErrDamaged where a record's
-// checksum or the order of the log is wrong.
+// OpenStorage opens or creates the storage of a group's member. A new storage has
+// a new random id, so that a member that lost its disk cannot rejoin under an
+// identity whose votes it has lost. It fails with ErrCorrupt if the checksum of a
+// record or the order of the log is wrong.
 func OpenStorage(cfg StorageConfig) (*Storage, error) {
 	if err := os.MkdirAll(cfg.Folder, folderMode); err != nil {
-		return nil, errors.Newf("make data folder: %w", err)
+		return nil, errors.Newf("create data folder: %w", err)
 	}
 	path := filepath.Join(cfg.Folder, "group-"+strconv.FormatUint(cfg.Group, 10)+".db")
-	if err := checkFile(path); err != nil {
+	if err := checkDatabaseFile(path); err != nil {
 		return nil, errors.Newf("check %s: %w", path, err)
 	}
 	if cfg.Reserve == 0 {
-		cfg.Reserve = defaultReserve
+		cfg.Reserve = defaultReserveBytes
 	}
 	s := &Storage{cfg: cfg}
 	if err := s.open(path); err != nil {
@@ -101,7 +102,8 @@
 	return s, nil
 }
 
-// open turns the panics and faults of a damaged database into ErrDamaged.
+// open opens the database and converts panics and faults of a corrupt one into
+// ErrCorrupt.
 func (s *Storage) open(path string) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -109,9 +111,9 @@
 			err = errors.Newf("%v: %w", r, ErrCorrupt)
 		}
 	}()
-	// The list of free pages is stored: without it bbolt would scan the file in
-	// a goroutine of its own, where a fault cannot be caught.
-	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: lockWait})
+	// The list of free pages is stored. Without it bbolt would scan the file in
+	// its own goroutine, where a fault cannot be recovered.
+	db, err := bbolt.Open(path, fileMode, &bbolt.Options{Timeout: lockTimeout})
 	switch {
 	case errors.Is(err, bbolt.ErrTimeout):
 		return errors.New("another process holds the data folder")
@@ -125,8 +127,8 @@
 	return err
 }
 
-// prepare makes or reads the identity, reads everything once and has bbolt
-// check its pages, so that damage is found here and not later.
+// prepare creates or reads the identity, reads all records and runs bbolt's page
+// check, so that corruption is detected at the start.
 func (s *Storage) prepare() error {
 	if err := s.db.Update(s.prepareBuckets); err != nil {
 		return errors.Newf("prepare database: %w", err)
@@ -145,8 +147,8 @@
 	})
 }
 
-// prepareBuckets writes every state record at once when the storage is new;
-// later the absence of any of them is damage.
+// prepareBuckets writes all state records of a new storage in one transaction. In
+// an existing storage a missing record means corruption.
 func (s *Storage) prepareBuckets(tx *bbolt.Tx) error {
 	state := tx.Bucket(stateBucket)
 	if state != nil {
@@ -159,10 +161,10 @@
 	}
 	state, err := tx.CreateBucket(stateBucket)
 	if err != nil {
-		return errors.Newf("make state bucket: %w", err)
+		return errors.Newf("create state bucket: %w", err)
 	}
 	if _, err = tx.CreateBucket(logBucket); err != nil {
-		return errors.Newf("make log bucket: %w", err)
+		return errors.Newf("create log bucket: %w", err)
 	}
 	s.id = s.cfg.NewID()
 	if err := putChecked(state, identityKey, &schema.Member{Id: s.id}); err != nil {
@@ -174,11 +176,11 @@
 	return replaceSnapshot(tx, &schema.SnapshotState{})
 }
 
-// ID returns the id that was made with this disk.
+// ID returns the member id that was created with this storage.
 func (s *Storage) ID() uint64 { return s.id }
 
-// Membership returns the group's membership in the stored snapshot, or nil while
-// this member belongs to no group.
+// Membership returns the membership in the stored snapshot, or nil if this member
+// belongs to no group.
 func (s *Storage) Membership() (*schema.Membership, error) {
 	saved, err := s.Load()
 	if err != nil {
@@ -187,12 +189,12 @@
 	return saved.Snapshot.GetMembership(), nil
 }
 
-// Bootstrap makes this member one of a group's first members.
+// Bootstrap stores the initial membership of a group.
 func (s *Storage) Bootstrap(first *schema.Membership) error {
 	return s.SaveSnapshot(&schema.SnapshotState{Index: FirstIndex, Term: firstTerm, Membership: first})
 }
 
-// Load reads and checks everything but the snapshot's data.
+// Load reads and verifies everything. It returns the snapshot without its data.
 func (s *Storage) Load() (Saved, error) {
 	saved := Saved{HardState: &schema.HardState{}, Snapshot: &schema.SnapshotState{}}
 	err := s.db.View(func(tx *bbolt.Tx) error {
@@ -216,10 +218,10 @@
 	if err != nil {
 		return Saved{}, errors.Newf("load: %w", err)
 	}
-	// A page that lost its last records still reads well.
+	// A page that lost its last records is still valid by itself.
 	last := saved.Snapshot.GetIndex() + uint64(len(saved.Entries))
 	if want := max(saved.HardState.GetLast(), saved.Snapshot.GetIndex()); want != last {
-		return Saved{}, errors.Newf("the log ends at %d and not at %d: %w", last, want, ErrCorrupt)
+		return Saved{}, errors.Newf("the log ends at index %d instead of %d: %w", last, want, ErrCorrupt)
 	}
 	return saved, nil
 }
@@ -248,7 +250,8 @@
 	}
 }
 
-// Save stores a Ready's hard state, snapshot and entries in one synced step.
+// Save stores the hard state, snapshot and entries of a Ready in one synced
+// transaction.
 func (s *Storage) Save(r Ready) error {
 	if r.HardState == nil && r.Snapshot == nil && len(r.Entries) == 0 {
 		return nil
@@ -287,7 +290,7 @@
 		return err
 	}
 	b := tx.Bucket(logBucket)
-	// Indexes only grow, so pages can be filled to the brim.
+	// Indexes only increase, so pages can be filled completely.
 	b.FillPercent = 1
 	for _, e := range entries {
 		if err := putChecked(b, indexKey(e.GetIndex()), e); err != nil {
@@ -303,15 +306,15 @@
 		return errors.Newf("drop log: %w", err)
 	}
 	if _, err := tx.CreateBucket(logBucket); err != nil {
-		return errors.Newf("make log bucket: %w", err)
+		return errors.Newf("create log bucket: %w", err)
 	}
 	return nil
 }
 
-// lastAfter returns the index of the last stored entry once r is stored, or 0.
-// It asks the database only where nothing was deleted in the transaction: a
-// cursor that looks for the last key of pages that were emptied just now goes
-// round for ever, and the member with it.
+// lastAfter returns the index of the last stored entry after r is stored, or 0. It
+// reads the database only if nothing was deleted in the transaction: a cursor that
+// seeks the last key of pages emptied in the same transaction loops forever and
+// blocks the member.
 func lastAfter(tx *bbolt.Tx, r Ready) uint64 {
 	if n := len(r.Entries); n > 0 {
 		return r.Entries[n-1].GetIndex()
@@ -371,7 +374,7 @@
 	return putChecked(state, snapshotDataKey, s)
 }
 
-// Snapshot reads the stored snapshot with its data.
+// Snapshot returns the stored snapshot with its data.
 func (s *Storage) Snapshot() (*schema.SnapshotState, error) {
 	out := &schema.SnapshotState{}
 	err := s.db.View(func(tx *bbolt.Tx) error {
@@ -383,8 +386,9 @@
 	return out, nil
 }
 
-// CheckFreeSpace returns ErrDiskFull when proposals should be refused. A full disk would
-// otherwise end the process in the middle of a write, on all members at once.
+// CheckFreeSpace returns ErrDiskFull if proposals must be refused because of low disk
+// space. Otherwise a full disk would terminate the process during a write, on all
+// members at the same time.
 func (s *Storage) CheckFreeSpace() error {
 	if s.cfg.FreeBytes == nil {
 		return nil
@@ -399,7 +403,7 @@
 	return nil
 }
 
-// Close frees the data folder.
+// Close closes the database and releases the data folder.
 func (s *Storage) Close() error {
 	if err := s.db.Close(); err != nil {
 		return errors.Newf("close storage: %w", err)
@@ -416,7 +420,7 @@
 	if err != nil {
 		return errors.Newf("encode record: %w", err)
 	}
-	value := binary.BigEndian.AppendUint32(make([]byte, 0, sumSize+len(data)), checksum(key, data))
+	value := binary.BigEndian.AppendUint32(make([]byte, 0, checksumSize+len(data)), checksum(key, data))
 	if err := b.Put(key, append(value, data...)); err != nil {
 		return errors.Newf("put record: %w", err)
 	}
@@ -427,12 +431,12 @@
 	return decodeChecked(key, b.Get(key), m)
 }
 
-// decodeChecked never panics on any bytes.
+// decodeChecked verifies and decodes a record. It does not panic on any input.
 func decodeChecked(key, value []byte, m proto.Message) error {
-	if len(value) < sumSize {
+	if len(value) < checksumSize {
 		return errors.Newf("record of %d bytes: %w", len(value), ErrCorrupt)
 	}
-	data := value[sumSize:]
+	data := value[checksumSize:]
 	if checksum(key, data) != binary.BigEndian.Uint32(value) {
 		return errors.Newf("checksum: %w", ErrCorrupt)
 	}
@@ -442,7 +446,7 @@
 	return nil
 }
 
-// checksum covers the key too, or a record under a wrong key would pass.
+// checksum covers the key too, so that a record under a wrong key is rejected.
 func checksum(key, data []byte) uint32 {
 	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, data)
 }
--- a/internal/consensus/storage_test.go
+++ b/internal/consensus/storage_test.go
@@ -32,8 +32,9 @@
 	return &schema.LogEntry{Index: index, Term: term, Data: []byte(data)}
 }
 
-// filled makes a folder whose member has voted and acknowledged entries.
-func filled(t *testing.T) string {
+// newFilledFolder returns a data folder whose member has voted and acknowledged
+// entries.
+func newFilledFolder(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
 	s, err := openStorage(t, folder)
@@ -50,10 +51,10 @@
 	return folder
 }
 
-func file(folder string) string { return filepath.Join(folder, "group-1.db") }
+func databasePath(folder string) string { return filepath.Join(folder, "group-1.db") }
 
-func TestStorageKeepsWhatWasSaved(t *testing.T) {
-	folder := filled(t)
+func TestStorageRestoresSavedState(t *testing.T) {
+	folder := newFilledFolder(t)
 	s, err := openStorage(t, folder)
 	require.NoError(t, err)
 	require.NoError(t, s.Save(consensus.Ready{
@@ -76,24 +77,24 @@
 	assert.Equal(t, "state", string(snapshot.GetData()))
 }
 
-// TestDamagedStorageIsRefused cuts and flips the file of a member that has voted.
-// The member must refuse to start, or start with all that it promised: one that
-// forgot its vote could help two leaders into one term, and one that forgot an
-// acknowledged entry could let it be overwritten.
-func TestDamagedStorageIsRefused(t *testing.T) {
-	whole, err := os.ReadFile(file(filled(t)))
+// The file of a member that has voted is truncated, or bytes of it are flipped or
+// zeroed. The member must refuse to start, or start with its complete state: a
+// member that lost its vote could help to elect two leaders in one term, and one
+// that lost an acknowledged entry could allow it to be overwritten.
+func TestCorruptStorageIsRejected(t *testing.T) {
+	whole, err := os.ReadFile(databasePath(newFilledFolder(t)))
 	require.NoError(t, err)
 	want := loadFrom(t, whole)
-	refused, harmless := 0, 0
-	try := func(what string, data []byte) {
+	rejected, harmless := 0, 0
+	try := func(description string, data []byte) {
 		got, err := tryLoad(t, data)
 		if err != nil {
-			refused++
-			assert.True(t, errors.Is(err, consensus.ErrCorrupt), "%s: %v", what, err)
+			rejected++
+			assert.True(t, errors.Is(err, consensus.ErrCorrupt), "%s: %v", description, err)
 			return
 		}
 		harmless++
-		assert.True(t, equalSaved(want, got), "%s: something was forgotten without a word", what)
+		assert.True(t, equalSaved(want, got), "%s: state was lost without an error", description)
 	}
 	for size := 0; size < len(whole); size += 1024 {
 		try(fmt.Sprintf("cut to %d bytes", size), whole[:size])
@@ -108,21 +109,21 @@
 		clear(zeroed[at : at+4096])
 		try(fmt.Sprintf("page at %d zeroed", at), zeroed)
 	}
-	t.Logf("%d damages refused, %d harmless", refused, harmless)
-	assert.NotZero(t, refused)
+	t.Logf("%d corruptions rejected, %d harmless", rejected, harmless)
+	assert.NotZero(t, rejected)
 }
 
 func tryLoad(t *testing.T, data []byte) (consensus.Saved, error) {
 	t.Helper()
 	folder := t.TempDir()
-	require.NoError(t, os.WriteFile(file(folder), data, 0o600))
+	require.NoError(t, os.WriteFile(databasePath(folder), data, 0o600))
 	s, err := consensus.OpenStorage(consensus.StorageConfig{Folder: folder, Group: 1, NewID: func() uint64 { return testID + 1 }})
 	if err != nil {
 		return consensus.Saved{}, err
 	}
 	defer func() { _ = s.Close() }()
 	if s.ID() != testID {
-		// It joins anew, as a learner.
+		// The storage is treated as new, and the member joins as a learner.
 		return consensus.Saved{}, errors.Newf("another identity: %w", consensus.ErrCorrupt)
 	}
 	return s.Load()
@@ -147,11 +148,11 @@
 	return true
 }
 
-// TestLostDiskHasAnotherIdentity: a host whose file is gone starts, but under a
-// new id, so that it cannot vote a second time where its old id has voted.
-func TestLostDiskHasAnotherIdentity(t *testing.T) {
-	folder := filled(t)
-	require.NoError(t, os.Remove(file(folder)))
+// A host whose database file is missing starts under a new id, so that it cannot
+// vote a second time in a term in which its old id has voted.
+func TestLostDiskGetsNewID(t *testing.T) {
+	folder := newFilledFolder(t)
+	require.NoError(t, os.Remove(databasePath(folder)))
 	s, err := consensus.OpenStorage(consensus.StorageConfig{Folder: folder, Group: 1, NewID: func() uint64 { return 8 }})
 	require.NoError(t, err)
 	defer func() { _ = s.Close() }()
@@ -169,7 +170,7 @@
 	assert.ErrorContains(t, err, "another process")
 }
 
-func TestFullDiskIsToldApart(t *testing.T) {
+func TestFullDiskIsReported(t *testing.T) {
 	free := uint64(1 << 40)
 	s, err := consensus.OpenStorage(consensus.StorageConfig{
 		Folder: t.TempDir(), Group: 1, NewID: func() uint64 { return testID },
@@ -182,10 +183,10 @@
 	assert.True(t, errors.Is(s.CheckFreeSpace(), consensus.ErrDiskFull))
 }
 
-// A member that was cut off comes back far behind and is sent a snapshot, which
-// replaces a log of several pages. The member must go on: it once searched the
-// emptied pages for the last entry for ever, answered nobody, and two such
-// members left the group without a quorum.
+// A member that was partitioned for long is sent a snapshot, which replaces a log of
+// several pages. A search for the last entry in pages emptied by the same
+// transaction never ends: the member stops replying, and two such members leave the
+// group without a quorum.
 func TestSnapshotReplacesLogOfSeveralPages(t *testing.T) {
 	const entries, size = 200, 3000
 	s, err := consensus.OpenStorage(consensus.StorageConfig{
