--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -24,7 +24,7 @@
 	})
 }
 
-// processReady marks all pending processReady of a core as done and returns its messages.
+// processReady marks all pending work of a core as done and returns its messages.
 func processReady(c *consensus.Core) (sent []*schema.ConsensusMessage) {
 	for c.HasReady() {
 		r := c.Ready()
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// confirmedAt returns the last time at which a quorum confirmedAt this member as the
+// confirmedAt returns the last time at which a quorum confirmed this member as the
 // leader.
 func (m *Member) confirmedAt() time.Time {
 	started, acknowledged := m.core.HeartbeatRounds()
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -19,21 +19,22 @@
 )
 
 var (
-	// ErrNoLeader says that no leader could be reached and that the command
-	// was given to none.
+	// ErrNoLeader is returned if no leader was reachable and the command was sent
+	// to none.
 	ErrNoLeader = errors.New("the control group has no leader that can be reached")
-	// ErrOutcomeUnknown says that the command may or may not be committed.
+	// ErrOutcomeUnknown is returned if the command may or may not be committed.
 	ErrOutcomeUnknown = errors.New("the control group did not answer; the outcome is not known")
-	// ErrRefused says that the leader took nothing on; the message tells why.
+	// ErrRefused is returned if the leader rejected the command; the message
+	// contains the reason.
 	ErrRefused = errors.New("the control group refused")
 )
 
 const (
-	tryWait    = 2 * time.Second
-	retryPause = 50 * time.Millisecond
-	// watchSilence is how long a watch may be silent before another member is
-	// asked; members send something every watchBeat.
-	watchSilence = 3 * watchBeat
+	attemptTimeout = 2 * time.Second
+	retryDelay     = 50 * time.Millisecond
+	// watchTimeout is how long a watch may be silent before another member is
+	// watched. Members send at least every watchHeartbeat.
+	watchTimeout = 3 * watchHeartbeat
 )
 
 // ClientConfig configures a Client. All fields are required.
@@ -47,8 +48,8 @@
 	Log     logr.Logger
 }
 
-// Client reaches the control group from any host and keeps the host's replica
-// current. All methods are safe from any goroutine.
+// Client sends commands and reads to the control group from any host and keeps the
+// host's replica up to date. It is safe for concurrent use.
 type Client struct {
 	cfg     ClientConfig
 	members []*schema.HostSettings
@@ -57,13 +58,14 @@
 	once    sync.Once
 
 	mu sync.Mutex
-	// leader is the control host that led last, or ""; guarded by mu.
+	// leader is the last known leader's host, or ""; guarded by mu.
 	leader string
-	// heard is when a watch last brought something; guarded by mu.
-	heard time.Time
+	// lastReceived is when a watch last received a message with a known leader;
+	// guarded by mu.
+	lastReceived time.Time
 }
 
-// NewClient starts to follow the group's changes.
+// NewClient returns a client that watches the group's changes.
 func NewClient(cfg ClientConfig) *Client {
 	c := &Client{cfg: cfg, stop: make(chan struct{}), done: make(chan struct{})}
 	for _, h := range cfg.Hosts {
@@ -71,13 +73,13 @@
 			c.members = append(c.members, h)
 		}
 	}
-	// A member on this host or in this data centre goes first.
+	// Members on this host come first, then those in this data centre.
 	slices.SortStableFunc(c.members, func(a, b *schema.HostSettings) int {
 		return c.distance(a) - c.distance(b)
 	})
 	go func() {
 		defer close(c.done)
-		c.follow()
+		c.runWatch()
 	}()
 	return c
 }
@@ -92,27 +94,27 @@
 	return 2
 }
 
-// Stop ends the client.
+// Stop stops the client.
 func (c *Client) Stop() {
 	c.once.Do(func() { close(c.stop) })
 	<-c.done
 }
 
-// Done is closed when the client has stopped.
+// Done returns a channel that is closed when the client has stopped.
 func (c *Client) Done() <-chan struct{} { return c.done }
 
-// Leader returns the host that is believed to lead, or "".
+// Leader returns the host of the last known leader, or "".
 func (c *Client) Leader() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.leader
 }
 
-// LastReceived returns when the group was last heard from.
+// LastReceived returns when the last message with a known leader was received.
 func (c *Client) LastReceived() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.heard
+	return c.lastReceived
 }
 
 func (c *Client) setLeader(host string) {
@@ -121,9 +123,9 @@
 	c.leader = host
 }
 
-// Propose commits a command with the leader and returns its result. It goes on
-// until the context ends; a command must therefore be safe to give twice.
-// ErrNoLeader and ErrRefused prove that nothing was committed.
+// Propose commits a command through the leader and returns its result. It retries
+// until the context ends, so a command must be idempotent. ErrNoLeader and
+// ErrRefused prove that nothing was committed.
 func (c *Client) Propose(ctx context.Context, cmd *schema.Command) (*schema.Result, error) {
 	var reply *schema.ProposeReply
 	err := c.withLeader(ctx, func(ctx context.Context, p schema.PeerClient) (notLeader bool, hint string, err error) {
@@ -156,7 +158,7 @@
 	return reply, err
 }
 
-// Report gives the leader this entry's soft state.
+// Report sends this entry's soft state to the leader.
 func (c *Client) Report(ctx context.Context, r *schema.Report) (*schema.ReportReply, error) {
 	r.Group = c.cfg.Group
 	var reply *schema.ReportReply
@@ -169,10 +171,10 @@
 
 type leaderCall func(ctx context.Context, p schema.PeerClient) (notLeader bool, hint string, err error)
 
-// withLeader asks the members in turn, the believed leader first, until one
-// answers as leader.
+// withLeader calls the members in turn, the last known leader first, until one
+// replies as the leader.
 func (c *Client) withLeader(ctx context.Context, call leaderCall) error {
-	uncertain := false
+	outcomeUnknown := false
 	next := 0
 	host := c.Leader()
 	for {
@@ -181,7 +183,7 @@
 			target = c.members[next%len(c.members)]
 			next++
 		}
-		notLeader, hint, err := c.try(ctx, target, call)
+		notLeader, hint, err := c.attempt(ctx, target, call)
 		switch {
 		case err == nil && !notLeader:
 			c.setLeader(target.GetName())
@@ -192,13 +194,13 @@
 			return errors.Newf("%s: %w", status.Convert(err).Message(), ErrRefused)
 		default:
 			host = ""
-			uncertain = uncertain || !provesUnsent(err)
+			outcomeUnknown = outcomeUnknown || !provesNotExecuted(err)
 		}
 		if host == target.GetName() {
 			host = ""
 		}
-		if err := c.pause(ctx, notLeader && host != ""); err != nil {
-			if uncertain {
+		if err := c.waitRetry(ctx, notLeader && host != ""); err != nil {
+			if outcomeUnknown {
 				return errors.Newf("%v: %w", err, ErrOutcomeUnknown)
 			}
 			return errors.Newf("%v: %w", err, ErrNoLeader)
@@ -206,34 +208,36 @@
 	}
 }
 
-func (c *Client) try(ctx context.Context, h *schema.HostSettings, call leaderCall) (bool, string, error) {
+func (c *Client) attempt(ctx context.Context, h *schema.HostSettings, call leaderCall) (bool, string, error) {
 	p, err := c.cfg.Dialer.Client(h.GetPeerAddress())
 	if err != nil {
 		return false, "", errors.Newf("reach %s: %w", h.GetName(), err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, tryWait)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	return call(ctx, p)
 }
 
-// provesUnsent reports whether an error shows that no member can have acted.
-func provesUnsent(err error) bool {
+// provesNotExecuted reports whether an error proves that the member did not execute
+// the call.
+func provesNotExecuted(err error) bool {
 	s := status.Convert(err)
 	return s.Code() == codes.Unimplemented || s.Code() == codes.FailedPrecondition
 }
 
-// pause waits before the next try, but not when a leader was named.
-func (c *Client) pause(ctx context.Context, named bool) error {
-	wait := retryPause
-	if named {
-		wait = time.Millisecond
+// waitRetry waits before the next attempt. The delay is a millisecond if a member
+// has named the leader.
+func (c *Client) waitRetry(ctx context.Context, leaderKnown bool) error {
+	delay := retryDelay
+	if leaderKnown {
+		delay = time.Millisecond
 	}
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-c.stop:
 		return errors.New("the client has stopped")
-	case <-time.After(wait):
+	case <-time.After(delay):
 		return nil
 	}
 }
@@ -247,14 +251,15 @@
 	return nil
 }
 
-// follow keeps one watch open, at the nearest member that answers.
-func (c *Client) follow() {
+// runWatch keeps one watch open. It tries the members in the order of their
+// distance.
+func (c *Client) runWatch() {
 	for i := 0; ; i++ {
 		err := c.watch(c.members[i%len(c.members)])
 		select {
 		case <-c.stop:
 			return
-		case <-time.After(retryPause):
+		case <-time.After(retryDelay):
 		}
 		if err != nil {
 			c.cfg.Log.V(1).Info("watch ended", "reason", err.Error())
@@ -276,12 +281,13 @@
 		case <-ctx.Done():
 		}
 	}()
-	// A member that was cut off goes on sending beats without a leader; a
-	// connection may go silent for good. Both end the watch.
-	silence := time.AfterFunc(watchSilence, cancel)
-	defer silence.Stop()
-	// Compressed, the whole state of 15,100 models and adapters is a twelfth of
-	// its size: a restarted entry has it well within the byte budget.
+	// A partitioned member continues to send heartbeats without a leader, and a
+	// connection can become silent permanently. Both end the watch.
+	timeout := time.AfterFunc(watchTimeout, cancel)
+	defer timeout.Stop()
+	// Compression reduces the complete state of 15,100 models and adapters to a
+	// twelfth of its size, so that a restarted entry receives it well within the
+	// byte budget.
 	stream, err := p.Watch(ctx, &schema.WatchRequest{Group: c.cfg.Group, After: c.cfg.Replica.Revision()},
 		grpc.UseCompressor(gzip.Name))
 	if err != nil {
@@ -296,10 +302,10 @@
 		if changes.GetLeaderHost() == "" {
 			continue
 		}
-		silence.Reset(watchSilence)
+		timeout.Reset(watchTimeout)
 		c.mu.Lock()
 		c.leader = changes.GetLeaderHost()
-		c.heard = time.Now()
+		c.lastReceived = time.Now()
 		c.mu.Unlock()
 	}
 }
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,4 +1,4 @@
-// Package control joins the consensus group, the ledger and the network: Group
-// is a control member of this host, Client reaches the group's leader from any
-// host.
+// Package control connects the consensus group, the ledger and the network: Group
+// runs this host's member of the control group, Client sends commands and reads
+// to the group's leader from any host.
 package control
--- a/internal/control/export_test.go
+++ b/internal/control/export_test.go
@@ -4,10 +4,10 @@
 	"fennelyard/internal/schema"
 )
 
-// Founds reports whether a host with an empty disk may found the group.
-func Founds(self string, founding bool, seeds ...string) bool {
+// MayBootstrap reports whether a host with an empty disk may bootstrap the group.
+func MayBootstrap(self string, bootstrap bool, seeds ...string) bool {
 	g := &Group{cfg: Config{
-		Self: &schema.HostSettings{Name: self, PeerAddress: self}, Bootstrap: founding, Seeds: func() []string { return seeds },
+		Self: &schema.HostSettings{Name: self, PeerAddress: self}, Bootstrap: bootstrap, Seeds: func() []string { return seeds },
 	}}
-	return g.isFounder()
+	return g.mayBootstrap()
 }
--- a/internal/control/form.go
+++ b/internal/control/form.go
@@ -13,39 +13,40 @@
 )
 
 const (
-	helloEvery = 250 * time.Millisecond
-	// helloWait is per host: a host that is down must not keep a new one from
-	// asking the next for long, and an answer takes milliseconds.
-	helloWait = 700 * time.Millisecond
-	// rejoinEvery is how often a member outside the voters asks to be taken in.
-	rejoinEvery = time.Second
+	helloInterval = 250 * time.Millisecond
+	// helloTimeout is the timeout for each host. A reply takes milliseconds, and a
+	// host that is down must not delay the queries to other hosts for long.
+	helloTimeout = 700 * time.Millisecond
+	// rejoinInterval is the interval at which a member that is not a voter requests
+	// to join.
+	rejoinInterval = time.Second
 )
 
 func (g *Group) hello(_ context.Context, q *schema.HelloRequest) (*schema.HelloReply, error) {
-	m := g.current()
+	m := g.currentMember()
 	reply := &schema.HelloReply{Id: g.cfg.Storage.ID(), Formed: m != nil}
 	if m == nil {
 		return reply, nil
 	}
 	s := m.Status()
-	for _, x := range s.Membership.GetMembers() {
-		reply.MemberAddresses = append(reply.MemberAddresses, g.addressOf(x))
-		if x.GetId() == s.Leader {
-			reply.LeaderAddress = g.addressOf(x)
+	for _, member := range s.Membership.GetMembers() {
+		reply.MemberAddresses = append(reply.MemberAddresses, g.addressOf(member))
+		if member.GetId() == s.Leader {
+			reply.LeaderAddress = g.addressOf(member)
 		}
 	}
-	// A voter outside the membership in force is a host whose disk was replaced.
-	known := slices.ContainsFunc(s.Membership.GetMembers(), func(x *schema.Member) bool {
-		return x.GetId() == q.GetMember().GetId() && !x.GetLearner()
+	// A control host that is not a voter in the current membership has a new disk.
+	known := slices.ContainsFunc(s.Membership.GetMembers(), func(member *schema.Member) bool {
+		return member.GetId() == q.GetMember().GetId() && !member.GetLearner()
 	})
-	if s.Role == consensus.RoleLeader && s.CommittedInTerm && !known && g.configured(q.GetMember()) {
+	if s.Role == consensus.RoleLeader && s.CommittedInTerm && !known && g.isConfigured(q.GetMember()) {
 		m.Join(q.GetMember())
 	}
 	return reply, nil
 }
 
-// addressOf returns a member's peer address; hosts that the settings name carry none in
-// the membership.
+// addressOf returns a member's peer address. The membership contains no address for
+// hosts that are listed in the settings.
 func (g *Group) addressOf(m *schema.Member) string {
 	for _, h := range g.cfg.Hosts {
 		if h.GetName() == m.GetHost() {
@@ -55,8 +56,9 @@
 	return m.GetAddress()
 }
 
-// configured keeps a host that is not a control member by the settings out.
-func (g *Group) configured(m *schema.Member) bool {
+// isConfigured reports whether the settings allow a host to be a control member.
+// With seeds, every host with an address is allowed.
+func (g *Group) isConfigured(m *schema.Member) bool {
 	if g.cfg.Seeds != nil {
 		return m.GetAddress() != ""
 	}
@@ -71,17 +73,18 @@
 	}
 }
 
-// form waits until the group is formed and starts the member. The first host by
-// name forms the group, and only after every control host has said that it
-// belongs to none: a host with a lost disk must not found a second group beside
-// the one that remembers. It returns false when the group is stopped before.
-func (g *Group) form() bool {
-	ticker := time.NewTicker(helloEvery)
+// waitFormed waits until the group is formed and starts the member. The first host
+// by name bootstraps the group, and only after every control host has replied that
+// it belongs to none: a host with a lost disk must not bootstrap a second group
+// while another one has the state. It returns false if the group is stopped or the
+// member fails to start.
+func (g *Group) waitFormed() bool {
+	ticker := time.NewTicker(helloInterval)
 	defer ticker.Stop()
 	for {
-		members, formed, all := g.askAll()
-		if formed || all && g.isFounder() {
-			if err := g.begin(members, formed); err != nil {
+		members, formed, all := g.queryAll()
+		if formed || all && g.mayBootstrap() {
+			if err := g.startFormed(members, formed); err != nil {
 				g.mu.Lock()
 				g.err = err
 				g.mu.Unlock()
@@ -97,17 +100,17 @@
 	}
 }
 
-func (g *Group) begin(members []*schema.Member, formed bool) error {
+func (g *Group) startFormed(members []*schema.Member, formed bool) error {
 	if !formed {
 		if err := g.cfg.Storage.Bootstrap(&schema.Membership{Members: members}); err != nil {
-			return errors.Newf("form group: %w", err)
+			return errors.Newf("bootstrap group: %w", err)
 		}
 		g.cfg.Log.Info("control group formed", "members", len(members))
 	}
-	return g.start()
+	return g.startMember()
 }
 
-func (g *Group) isFounder() bool {
+func (g *Group) mayBootstrap() bool {
 	if g.cfg.Seeds != nil && (!g.cfg.Bootstrap || !slices.Contains(g.cfg.Seeds(), g.cfg.Self.GetPeerAddress())) {
 		return false
 	}
@@ -119,17 +122,17 @@
 	return true
 }
 
-// candidates returns the hosts that may be members: by the settings, or the
-// seeds, the members, and the hosts that others named. Seeds go stale as hosts are
-// replaced; members met are what is left then.
+// candidates returns the hosts that may be members: those in the settings, or the
+// seeds, the current members and the addresses learned from replies. Seeds become
+// stale as hosts are replaced; then only the known members remain.
 func (g *Group) candidates() []*schema.HostSettings {
 	if g.cfg.Seeds == nil {
 		return slices.Clone(g.cfg.Hosts)
 	}
-	addresses := slices.Concat(g.cfg.Seeds(), g.asking.named)
-	if m := g.current(); m != nil {
-		for _, x := range m.Status().Membership.GetMembers() {
-			addresses = append(addresses, x.GetAddress())
+	addresses := slices.Concat(g.cfg.Seeds(), g.joinState.knownAddresses)
+	if m := g.currentMember(); m != nil {
+		for _, member := range m.Status().Membership.GetMembers() {
+			addresses = append(addresses, member.GetAddress())
 		}
 	}
 	slices.Sort(addresses)
@@ -140,83 +143,85 @@
 	return out
 }
 
-// askAll asks every candidate, and then the members that they name, to take this host in.
-// It returns the candidates that answered, whether any of them is in a group, and whether
-// all of them answered.
+// queryAll sends a join request to every candidate, and then to the members listed in
+// their replies. It returns the candidates that replied, whether any of them is in a
+// group, and whether all of them replied.
 //
-// A host with an empty disk knows the seeds only, and a leader alone takes it in. Were
-// the others not named, the host would stay out for as long as a host leads that is no
-// seed: the group bears one loss less, and after a few such losses no quorum is left.
-func (g *Group) askAll() (members []*schema.Member, formed, all bool) {
+// A host with an empty disk knows only the seeds, and only the leader can add it. If
+// replies did not list the members, the host could not join while the leader is not a
+// seed. The group would tolerate one failure less, and after a few such losses it
+// would have no quorum.
+func (g *Group) queryAll() (members []*schema.Member, formed, all bool) {
 	members = append(members, g.selfMember())
 	all = true
-	g.asking.begin()
-	defer g.asking.end(g.cfg.Log)
-	for _, x := range g.askEach(g.others()) {
-		if x.err != nil {
+	g.joinState.begin()
+	defer g.joinState.end(g.cfg.Log)
+	for _, result := range g.queryEach(g.otherCandidates()) {
+		if result.err != nil {
 			all = false
 			continue
 		}
-		formed = formed || x.reply.GetFormed()
+		formed = formed || result.reply.GetFormed()
 		members = append(members, &schema.Member{
-			Id: x.reply.GetId(), Host: x.host.GetName(), Address: x.host.GetPeerAddress(),
+			Id: result.reply.GetId(), Host: result.host.GetName(), Address: result.host.GetPeerAddress(),
 		})
 	}
 	if g.cfg.Seeds != nil {
-		g.askEach(slices.DeleteFunc(g.others(), func(h *schema.HostSettings) bool { return g.asking.hasAsked(h) }))
+		g.queryEach(slices.DeleteFunc(g.otherCandidates(), func(h *schema.HostSettings) bool { return g.joinState.hasQueried(h) }))
 	}
 	return members, formed, all
 }
 
-// others returns the candidates but this host.
-func (g *Group) others() []*schema.HostSettings {
+// otherCandidates returns the candidates without this host.
+func (g *Group) otherCandidates() []*schema.HostSettings {
 	return slices.DeleteFunc(g.candidates(), func(h *schema.HostSettings) bool {
 		return !h.GetControl() || h.GetName() == g.cfg.Self.GetName()
 	})
 }
 
-// helloAnswer is what a host said, or why it said nothing.
-type helloAnswer struct {
+// helloResult is a host's reply to a join request, or the error.
+type helloResult struct {
 	host  *schema.HostSettings
 	reply *schema.HelloReply
 	err   error
 }
 
-// askEach asks hosts at the same time: each that is down keeps its answer for helloWait,
-// and a host whose disk was lost has a few seconds to be a voter again.
-func (g *Group) askEach(hosts []*schema.HostSettings) []helloAnswer {
-	out := make([]helloAnswer, len(hosts))
+// queryEach sends join requests to hosts in parallel. A query to a host that is down
+// takes helloTimeout, and a host that lost its disk has to become a voter again
+// within a few seconds.
+func (g *Group) queryEach(hosts []*schema.HostSettings) []helloResult {
+	out := make([]helloResult, len(hosts))
 	var wg sync.WaitGroup
 	for i, h := range hosts {
 		wg.Go(func() {
-			reply, err := g.ask(h)
-			out[i] = helloAnswer{h, reply, err}
+			reply, err := g.sendHello(h)
+			out[i] = helloResult{h, reply, err}
 		})
 	}
 	wg.Wait()
-	for _, x := range out {
-		g.asking.note(x)
+	for _, result := range out {
+		g.joinState.record(result)
 	}
 	return out
 }
 
-func (g *Group) ask(h *schema.HostSettings) (*schema.HelloReply, error) {
+func (g *Group) sendHello(h *schema.HostSettings) (*schema.HelloReply, error) {
 	client, err := g.cfg.Dialer.Client(h.GetPeerAddress())
 	if err != nil {
-		return nil, errors.Newf("ask %s: %w", h.GetName(), err)
+		return nil, errors.Newf("dial %s: %w", h.GetName(), err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), helloWait)
+	ctx, cancel := context.WithTimeout(context.Background(), helloTimeout)
 	defer cancel()
 	reply, err := client.Hello(ctx, &schema.HelloRequest{Group: g.cfg.Group, Member: g.selfMember()})
 	if err != nil {
-		return nil, errors.Newf("ask %s: %w", h.GetName(), err)
+		return nil, errors.Newf("join request to %s: %w", h.GetName(), err)
 	}
 	return reply, nil
 }
 
-// rejoin asks to be taken in for as long as this member is no voter.
+// rejoin repeats the join requests while this member is not a voter.
 func (g *Group) rejoin(m *consensus.Member) {
-	ticker := time.NewTicker(rejoinEvery)
+	ticker := time.NewTicker(rejoinInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -227,11 +232,11 @@
 		case <-ticker.C:
 		}
 		s := m.Status()
-		voter := slices.ContainsFunc(s.Membership.GetMembers(), func(x *schema.Member) bool {
-			return x.GetId() == s.ID && !x.GetLearner()
+		voter := slices.ContainsFunc(s.Membership.GetMembers(), func(member *schema.Member) bool {
+			return member.GetId() == s.ID && !member.GetLearner()
 		})
 		if !voter {
-			g.askAll()
+			g.queryAll()
 		}
 	}
 }
--- a/internal/control/form_test.go
+++ b/internal/control/form_test.go
@@ -8,15 +8,15 @@
 	"fennelyard/internal/control"
 )
 
-// All control hosts lose their disks and start again. A host that founded a
-// group then would answer for a state that callers were never told is lost: only
-// the first seed founds, and only while the whole deployment starts for the
+// All control hosts lose their disks and restart. If a host bootstrapped a new group
+// then, callers would see an empty state without any notice that the old one is lost.
+// Only the first seed bootstraps, and only while the whole deployment starts for the
 // first time.
-func TestWhoFoundsTheGroup(t *testing.T) {
+func TestWhichHostBootstrapsGroup(t *testing.T) {
 	for name, x := range map[string]struct {
-		self     string
-		founding bool
-		want     bool
+		self      string
+		bootstrap bool
+		want      bool
 	}{
 		"first seed at the first start":   {"10.0.0.1:7", true, true},
 		"another seed at the first start": {"10.0.0.2:7", true, false},
@@ -24,7 +24,7 @@
 		"first seed with a lost disk":     {"10.0.0.1:7", false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, x.want, control.Founds(x.self, x.founding, "10.0.0.2:7", "10.0.0.1:7", "10.0.0.3:7"))
+			require.Equal(t, x.want, control.MayBootstrap(x.self, x.bootstrap, "10.0.0.2:7", "10.0.0.1:7", "10.0.0.3:7"))
 		})
 	}
 }
--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -20,80 +20,85 @@
 )
 
 const (
-	// watchBeat is the longest time between two messages on a watch, so that a
-	// watcher can tell silence from quiet.
-	watchBeat = time.Second
-	// watchGap collects changes that come together.
-	watchGap   = 10 * time.Millisecond
-	planPrefix = "plan/"
+	// watchHeartbeat is the longest interval between two messages on a watch, so
+	// that a watcher can detect a broken connection.
+	watchHeartbeat = time.Second
+	// watchBatchDelay is the delay after a change in which further changes are
+	// collected into the same message.
+	watchBatchDelay = 10 * time.Millisecond
+	planPrefix      = "plan/"
 )
 
-// Config configures a Group. All fields are required unless they say otherwise.
+// Config configures a Group. All fields are required unless stated otherwise.
 type Config struct {
 	Group uint64
 	Self  *schema.HostSettings
 	Hosts []*schema.HostSettings
-	// Seeds, where set, takes the place of Hosts: it returns the peer addresses
-	// of a few control hosts, through which the others are found. Hosts are then
-	// named by their peer addresses.
+	// Seeds, if set, replaces Hosts: it returns the peer addresses of a few
+	// control hosts, from which the others are discovered. Hosts are then named by
+	// their peer addresses.
 	Seeds func() []string
-	// Bootstrap is set only while the whole deployment starts for the first time.
-	// Without it, and outside the seeds, no host with an empty disk ever founds
-	// a group: all control hosts that lost their disks at once would otherwise
-	// start over beside what callers were told. It is used with Seeds only.
+	// Bootstrap must be set only while the whole deployment starts for the first
+	// time. Without it, no host with an empty disk bootstraps a group; nor does a
+	// host that is not a seed. Otherwise, if all control hosts lost their disks at
+	// the same time, they would start with an empty state that contradicts earlier
+	// replies to callers. It is used with Seeds only.
 	Bootstrap bool
 	Storage   *consensus.Storage
 	Dialer    *peer.Dialer
-	// QueryDialer is the dialer of questions to the leader; nil: Dialer. A connection on which
-	// calls keep timing out is replaced, and with many questions to a busy leader at a time
-	// that must not be the one on which it says that it leads.
+	// QueryDialer is the dialer for queries to the leader; nil means Dialer. A
+	// connection on which calls repeatedly time out is replaced. With many
+	// concurrent queries to a busy leader this must not affect the connection on
+	// which the leader reports its leadership.
 	QueryDialer *peer.Dialer
-	// Heartbeat is the tick of the group, Election the shortest election
-	// timeout.
+	// Heartbeat is the heartbeat interval of the group, Election the shortest
+	// election timeout.
 	Heartbeat     time.Duration
 	Election      time.Duration
 	SnapshotAfter uint64
-	// SilentTicks: see consensus.MemberConfig.
+	// SilentTicks is passed to consensus.MemberConfig; 0 means that silent voters
+	// are never replaced.
 	SilentTicks int
 	Random      func(n int) int
 	Log         logr.Logger
 }
 
-// Group is one control member. All methods are safe from any goroutine.
+// Group runs this host's member of the control group. It is safe for concurrent use.
 type Group struct {
-	cfg    Config
-	ledger *ledger.Ledger
-	links  *links
-	lately lately
-	asking asking
-	stop   chan struct{}
-	done   chan struct{}
-	once   sync.Once
+	cfg          Config
+	ledger       *ledger.Ledger
+	transport    *transport
+	confirmation leadershipConfirmation
+	joinState    joinState
+	stop         chan struct{}
+	done         chan struct{}
+	once         sync.Once
 
 	mu sync.Mutex
 	// member is nil until the group is formed.
 	member *consensus.Member
 	// err is set before done is closed.
 	err error
-	// report and forecast are set by Lead before the first call comes in.
-	report   func(*schema.Report) *schema.ReportReply
-	forecast func(*schema.Intent) []*schema.PlanLine
-	unproved func() []uint64
+	// report, forecast and unconfirmed are set by SetLeaderHandlers before the
+	// first call of a peer.
+	report      func(*schema.Report) *schema.ReportReply
+	forecast    func(*schema.Intent) []*schema.PlanLine
+	unconfirmed func() []uint64
 }
 
-// NewGroup starts the member: at once when its storage belongs to a group, else
-// as soon as the group is formed. Errors of the disk end it: see Done and Err.
+// NewGroup starts the member: immediately if its storage belongs to a group,
+// otherwise once the group is formed. Disk errors stop the member: see Done and Err.
 func NewGroup(cfg Config) (*Group, error) {
 	g := &Group{
 		cfg: cfg, ledger: ledger.New(), stop: make(chan struct{}), done: make(chan struct{}),
 	}
-	g.links = newLinks(cfg, g.unreachable)
-	formed, err := hasPromises(cfg.Storage)
+	g.transport = newTransport(cfg, g.unreachable)
+	formed, err := hasState(cfg.Storage)
 	if err != nil {
 		return nil, err
 	}
 	if formed {
-		if err := g.start(); err != nil {
+		if err := g.startMember(); err != nil {
 			return nil, err
 		}
 	}
@@ -105,19 +110,19 @@
 	return g, nil
 }
 
-// hasPromises reports whether the disk holds anything that the member promised
-// to a group.
-func hasPromises(s *consensus.Storage) (bool, error) {
+// hasState reports whether the storage has any state of a group: a snapshot, a term
+// or entries.
+func hasState(s *consensus.Storage) (bool, error) {
 	saved, err := s.Load()
 	if err != nil {
-		return false, errors.Newf("look for promises: %w", err)
+		return false, errors.Newf("load group state: %w", err)
 	}
 	return saved.Snapshot.GetIndex() > 0 || saved.HardState.GetTerm() > 0 || len(saved.Entries) > 0, nil
 }
 
-func (g *Group) start() error {
+func (g *Group) startMember() error {
 	m, err := consensus.NewMember(consensus.MemberConfig{
-		Group: g.cfg.Group, Storage: g.cfg.Storage, Send: g.links.send,
+		Group: g.cfg.Group, Storage: g.cfg.Storage, Send: g.transport.send,
 		StateMachine: consensus.StateMachine{
 			Apply: g.ledger.Apply, Advance: g.ledger.Advance, Snapshot: g.ledger.Snapshot, Restore: g.ledger.Restore,
 		},
@@ -141,10 +146,10 @@
 }
 
 func (g *Group) run(formed bool) {
-	if !formed && !g.form() {
+	if !formed && !g.waitFormed() {
 		return
 	}
-	m := g.current()
+	m := g.currentMember()
 	go g.rejoin(m)
 	select {
 	case <-g.stop:
@@ -154,11 +159,11 @@
 }
 
 func (g *Group) finish() {
-	m := g.current()
+	m := g.currentMember()
 	if m != nil {
 		m.Stop()
 	}
-	g.links.stop()
+	g.transport.stop()
 	g.mu.Lock()
 	if m != nil && g.err == nil {
 		g.err = m.Err()
@@ -166,41 +171,41 @@
 	g.mu.Unlock()
 }
 
-func (g *Group) current() *consensus.Member {
+func (g *Group) currentMember() *consensus.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.member
 }
 
 func (g *Group) unreachable(id uint64) {
-	if m := g.current(); m != nil {
+	if m := g.currentMember(); m != nil {
 		m.Unreachable(id)
 	}
 }
 
-// Done is closed when the member has stopped.
+// Done returns a channel that is closed when the member has stopped.
 func (g *Group) Done() <-chan struct{} { return g.done }
 
-// Err tells why the member stopped; nil after Stop.
+// Err returns the error that stopped the member; nil after Stop.
 func (g *Group) Err() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.err
 }
 
-// Stop hands leadership over, if this member leads, and ends it.
+// Stop transfers leadership if this member leads, and stops the member.
 func (g *Group) Stop() {
 	g.once.Do(func() {
-		g.handOver()
+		g.transferLeadership()
 		close(g.stop)
 	})
 	<-g.done
 }
 
-// handOver waits for another leader, or the group would be without one for an
-// election timeout after every planned stop.
-func (g *Group) handOver() {
-	m := g.current()
+// transferLeadership transfers leadership and waits for another leader. Otherwise
+// the group would have no leader for an election timeout after every planned stop.
+func (g *Group) transferLeadership() {
+	m := g.currentMember()
 	if m == nil || m.Status().Role != consensus.RoleLeader {
 		return
 	}
@@ -222,28 +227,28 @@
 // Ledger returns this member's replicated state.
 func (g *Group) Ledger() *ledger.Ledger { return g.ledger }
 
-// Status returns the member's status; the zero value before the group is formed.
+// Status returns the member's status, or the zero value before the group is formed.
 func (g *Group) Status() consensus.MemberStatus {
-	if m := g.current(); m != nil {
+	if m := g.currentMember(); m != nil {
 		return m.Status()
 	}
 	return consensus.MemberStatus{}
 }
 
-// SetLeaderHandlers gives the group what only a leader's order driver can answer. It must be
-// called before calls of peers come in.
+// SetLeaderHandlers sets the handlers for calls that only a leader's order driver can
+// answer. It must be called before the first call of a peer.
 func (g *Group) SetLeaderHandlers(report func(*schema.Report) *schema.ReportReply,
-	forecast func(*schema.Intent) []*schema.PlanLine, unproved func() []uint64,
+	forecast func(*schema.Intent) []*schema.PlanLine, unconfirmed func() []uint64,
 ) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.report, g.forecast, g.unproved = report, forecast, unproved
+	g.report, g.forecast, g.unconfirmed = report, forecast, unconfirmed
 }
 
-// Commit proposes a command on this member. See consensus.Member.Propose for
-// what its errors prove.
+// Commit proposes a command on this member. See consensus.Member.Propose for the
+// meaning of its errors.
 func (g *Group) Commit(ctx context.Context, cmd *schema.Command) (*schema.Result, error) {
-	m := g.current()
+	m := g.currentMember()
 	if m == nil {
 		return nil, consensus.ErrNotLeader
 	}
@@ -259,30 +264,31 @@
 	return result.(*schema.Result), nil
 }
 
-// ConfirmLeadership returns nil only if this member led at some moment after the call.
+// ConfirmLeadership returns a nil error only if this member led at some time after the
+// call. It returns the committed index.
 func (g *Group) ConfirmLeadership(ctx context.Context) (uint64, error) {
-	m := g.current()
+	m := g.currentMember()
 	if m == nil {
 		return 0, consensus.ErrNotLeader
 	}
 	return m.Read(ctx)
 }
 
-// Handlers returns the answers to the calls of peers.
+// Handlers returns the handlers for calls of peers.
 func (g *Group) Handlers() peer.Handlers {
 	return peer.Handlers{
 		Deliver: g.deliver, Hello: g.hello, Propose: g.propose, Read: g.read,
-		Watch: g.watch, SendReport: g.takeReport, Fetch: g.fetch,
+		Watch: g.watch, SendReport: g.handleReport, Fetch: g.fetch,
 	}
 }
 
 func (g *Group) deliver(_ context.Context, q *schema.Delivery) (*schema.DeliveryReply, error) {
-	m := g.current()
+	m := g.currentMember()
 	if q.GetGroup() != g.cfg.Group || m == nil {
 		return nil, status.Error(codes.FailedPrecondition, "the group is not formed here")
 	}
 	for _, msg := range q.GetMessages() {
-		g.links.learn(msg.GetFrom(), q.GetHost(), q.GetAddress())
+		g.transport.recordAddress(msg.GetFrom(), q.GetHost(), q.GetAddress())
 		m.Step(msg)
 	}
 	return &schema.DeliveryReply{}, nil
@@ -312,7 +318,7 @@
 }
 
 func (g *Group) read(ctx context.Context, q *schema.ReadRequest) (*schema.ReadReply, error) {
-	revision, term, err := g.lately.confirm(ctx, g, time.Duration(q.GetAgeMs())*time.Millisecond)
+	revision, term, err := g.confirmation.confirm(ctx, g, time.Duration(q.GetAgeMs())*time.Millisecond)
 	if errors.Is(err, consensus.ErrNotLeader) || errors.Is(err, consensus.ErrNoCommitInTerm) {
 		return &schema.ReadReply{NotLeader: true, LeaderHost: g.Status().LeaderHost}, nil
 	}
@@ -322,12 +328,12 @@
 	return &schema.ReadReply{Revision: revision, Term: term}, nil
 }
 
-// CatchUp returns the term of a leader that led at some moment not longer than age
-// before the call, once this member has applied all that was committed by then.
+// CatchUp returns the term of a leader that led at some time no earlier than age before
+// the call. It returns once this member has applied everything committed by then.
 func (g *Group) CatchUp(ctx context.Context, age time.Duration) (term uint64, err error) {
 	s := g.Status()
 	if s.CommittedInTerm {
-		_, term, err = g.lately.confirm(ctx, g, age)
+		_, term, err = g.confirmation.confirm(ctx, g, age)
 		return term, err
 	}
 	if s.LeaderHost == "" {
@@ -348,21 +354,21 @@
 	if reply.GetNotLeader() {
 		return 0, consensus.ErrNotLeader
 	}
-	return reply.GetTerm(), g.applied(ctx, reply.GetRevision())
+	return reply.GetTerm(), g.waitApplied(ctx, reply.GetRevision())
 }
 
-// appliedCheck is how often a member looks whether it has applied the log up to
-// an index: not every command is announced.
-const appliedCheck = 3 * time.Millisecond
+// appliedPollInterval is the interval at which waitApplied checks the applied index.
+// It polls because the ledger does not signal every command.
+const appliedPollInterval = 3 * time.Millisecond
 
-// applied waits until this member has applied the log up to an index.
-func (g *Group) applied(ctx context.Context, index uint64) error {
-	ticker := time.NewTicker(appliedCheck)
+// waitApplied waits until this member has applied the log up to an index.
+func (g *Group) waitApplied(ctx context.Context, index uint64) error {
+	ticker := time.NewTicker(appliedPollInterval)
 	defer ticker.Stop()
 	for {
-		var at uint64
-		g.ledger.View(func(h ledger.Status, _ *ledger.Records) { at = h.Index })
-		if at >= index {
+		var applied uint64
+		g.ledger.View(func(state ledger.Status, _ *ledger.Records) { applied = state.Index })
+		if applied >= index {
 			return nil
 		}
 		select {
@@ -381,9 +387,9 @@
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
 	out := &schema.FetchReply{}
-	g.ledger.View(func(h ledger.Status, r *ledger.Records) {
-		out.Revision, out.ConfigRevision, out.OperatorRevision = h.Index, h.ConfigRevision, h.OperatorRevision
-		out.LastOperator, out.LastCommand = h.LastOperator, h.LastCommand
+	g.ledger.View(func(state ledger.Status, r *ledger.Records) {
+		out.Revision, out.ConfigRevision, out.OperatorRevision = state.Index, state.ConfigRevision, state.OperatorRevision
+		out.LastOperator, out.LastCommand = state.LastOperator, state.LastCommand
 		for _, rec := range r.All() {
 			if strings.HasPrefix(rec.GetKey(), q.GetPrefix()) {
 				out.Records = append(out.Records, rec)
@@ -397,15 +403,15 @@
 		})
 	}
 	g.mu.Lock()
-	unproved := g.unproved
+	unconfirmed := g.unconfirmed
 	g.mu.Unlock()
-	if unproved != nil {
-		out.Unproved = unproved()
+	if unconfirmed != nil {
+		out.Unproved = unconfirmed()
 	}
 	return out, nil
 }
 
-func (g *Group) takeReport(_ context.Context, q *schema.Report) (*schema.ReportReply, error) {
+func (g *Group) handleReport(_ context.Context, q *schema.Report) (*schema.ReportReply, error) {
 	g.mu.Lock()
 	report := g.report
 	g.mu.Unlock()
@@ -415,13 +421,14 @@
 	return report(q), nil
 }
 
-// watch sends a follower everything after its revision, then each change. Any
-// member may serve it: a follower never goes back, and a member that lags says
-// by its silence about a leader that it should not be trusted for long.
+// watch sends a watcher all changes after its revision, then each further change.
+// Any member can serve it: a watcher never goes back to an older revision, and a
+// member that knows no leader sends no leader host, after which the watcher switches
+// to another member.
 func (g *Group) watch(q *schema.WatchRequest, stream grpc.ServerStreamingServer[schema.Changes]) error {
 	after := q.GetAfter()
-	beat := time.NewTicker(watchBeat)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(watchHeartbeat)
+	defer heartbeat.Stop()
 	for {
 		changed := g.ledger.Changed()
 		out := withoutPlans(g.ledger.Since(after))
@@ -437,26 +444,26 @@
 			return nil
 		case <-g.stop:
 			return status.Error(codes.Unavailable, "the host is stopping")
-		case <-beat.C:
+		case <-heartbeat.C:
 			continue
 		case <-changed:
 		}
 		select {
 		case <-stream.Context().Done():
 			return nil
-		case <-time.After(watchGap):
+		case <-time.After(watchBatchDelay):
 		}
 	}
 }
 
-// withoutPlans spares entries the plans, which hold whole intents and which
-// only operators read.
+// withoutPlans removes plans, which contain complete intents and are read by
+// operators only.
 func withoutPlans(c *schema.Changes) *schema.Changes {
-	kept := make([]*schema.Record, 0, len(c.GetRecords()))
+	records := make([]*schema.Record, 0, len(c.GetRecords()))
 	for _, rec := range c.GetRecords() {
 		if !strings.HasPrefix(rec.GetKey(), planPrefix) {
-			kept = append(kept, rec)
+			records = append(records, rec)
 		}
 	}
-	return &schema.Changes{Revision: c.GetRevision(), Whole: c.GetWhole(), Records: kept}
+	return &schema.Changes{Revision: c.GetRevision(), Whole: c.GetWhole(), Records: records}
 }
--- a/internal/control/linear_test.go
+++ b/internal/control/linear_test.go
@@ -25,26 +25,26 @@
 	firstSeed = flag.Int64("first-seed", 1, "seed of the first schedule")
 )
 
-// triple is a control group of three members with ledgers behind them, on real
-// storages, over a network that a test can cut.
-type triple struct {
-	t       *testing.T
-	mu      sync.Mutex
-	members map[uint64]*consensus.Member
-	cut     map[uint64]bool
-	random  *rand.Rand
-	loss    float64
+// testGroup is a control group of three members with ledgers and real storages on a
+// simulated network that can lose messages and disconnect members.
+type testGroup struct {
+	t           *testing.T
+	mu          sync.Mutex
+	members     map[uint64]*consensus.Member
+	partitioned map[uint64]bool
+	random      *rand.Rand
+	lossRate    float64
 }
 
-func newTriple(t *testing.T, seed int64) *triple {
-	g := &triple{t: t, members: map[uint64]*consensus.Member{}, cut: map[uint64]bool{}, random: rand.New(rand.NewSource(seed))}
-	first := &schema.Membership{Members: []*schema.Member{{Id: 1, Host: "a"}, {Id: 2, Host: "b"}, {Id: 3, Host: "c"}}}
-	for _, m := range first.GetMembers() {
+func newTestGroup(t *testing.T, seed int64) *testGroup {
+	g := &testGroup{t: t, members: map[uint64]*consensus.Member{}, partitioned: map[uint64]bool{}, random: rand.New(rand.NewSource(seed))}
+	membership := &schema.Membership{Members: []*schema.Member{{Id: 1, Host: "a"}, {Id: 2, Host: "b"}, {Id: 3, Host: "c"}}}
+	for _, m := range membership.GetMembers() {
 		id := m.GetId()
 		s, err := consensus.OpenStorage(consensus.StorageConfig{Folder: t.TempDir(), Group: 1, NewID: func() uint64 { return id }})
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = s.Close() })
-		require.NoError(t, s.Bootstrap(first))
+		require.NoError(t, s.Bootstrap(membership))
 		l := ledger.New()
 		random := rand.New(rand.NewSource(seed + int64(id)))
 		member, err := consensus.NewMember(consensus.MemberConfig{
@@ -62,9 +62,9 @@
 	return g
 }
 
-func (g *triple) send(from, to uint64, messages []*schema.ConsensusMessage) {
+func (g *testGroup) send(from, to uint64, messages []*schema.ConsensusMessage) {
 	g.mu.Lock()
-	m, lost := g.members[to], g.cut[from] || g.cut[to] || g.random.Float64() < g.loss
+	m, lost := g.members[to], g.partitioned[from] || g.partitioned[to] || g.random.Float64() < g.lossRate
 	g.mu.Unlock()
 	if m == nil || lost {
 		return
@@ -79,35 +79,35 @@
 }
 
 type intentOutput struct {
-	// known is false when the operator gave up without an answer.
+	// known is false if the operator received no reply.
 	known    bool
 	accepted bool
 	revision uint64
 }
 
-// baseModel is the operators' revision: a command based on it moves it, one
-// based on another number does not.
-var baseModel = porcupine.Model{
+// revisionModel models the operators' revision: a command based on the current
+// revision is accepted and advances it, any other command is rejected.
+var revisionModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		now, in, out := state.(uint64), input.(intentInput), output.(intentOutput)
+		current, in, out := state.(uint64), input.(intentInput), output.(intentOutput)
 		switch {
 		case out.accepted:
-			return in.base == now && out.revision > now, out.revision
+			return in.base == current && out.revision > current, out.revision
 		default:
-			return in.base != now, now
+			return in.base != current, current
 		}
 	},
 }
 
-// TestOperatorsCommandsAreLinearizable: four operators read the revision that
-// they know of and send commands based on it to whoever leads, while leaders are
-// cut off and messages lost; commands without an answer are sent again under
-// their id. Whatever each of them was told must fit into one order of commands.
-func TestOperatorsCommandsAreLinearizable(t *testing.T) {
+// Four operators send commands based on the last known revision to the current
+// leader, while members are partitioned and messages are lost. Commands without a
+// reply are sent again under the same id. All replies must be consistent with one
+// order of commands.
+func TestOperatorCommandsAreLinearizable(t *testing.T) {
 	for i := range *schedules {
 		synctest.Test(t, func(t *testing.T) {
-			g := newTriple(t, *firstSeed+int64(i))
+			g := newTestGroup(t, *firstSeed+int64(i))
 			defer func() {
 				for _, m := range g.members {
 					m.Stop()
@@ -129,7 +129,7 @@
 						call := time.Now().UnixNano()
 						out := g.apply(fmt.Sprintf("%d-%d", operator, n), base)
 						mu.Lock()
-						assert.True(t, out.known, "a command that is sent again gets its answer")
+						assert.True(t, out.known, "a repeated command gets a reply")
 						history = append(history, porcupine.Operation{
 							ClientId: operator, Input: intentInput{base}, Output: out, Call: call, Return: time.Now().UnixNano(),
 						})
@@ -143,32 +143,32 @@
 				}()
 			}
 			stop := make(chan struct{})
-			quiet := make(chan struct{})
+			faultsDone := make(chan struct{})
 			go func() {
-				defer close(quiet)
-				g.trouble(stop)
+				defer close(faultsDone)
+				g.injectFaults(stop)
 			}()
 			wg.Wait()
 			close(stop)
-			<-quiet
-			assert.True(t, porcupine.CheckOperations(baseModel, history), "seed %d", *firstSeed+int64(i))
+			<-faultsDone
+			assert.True(t, porcupine.CheckOperations(revisionModel, history), "seed %d", *firstSeed+int64(i))
 			assert.Positive(t, accepted)
 			t.Logf("seed %d: %d commands, %d accepted", *firstSeed+int64(i), len(history), accepted)
 		})
 	}
 }
 
-// trouble cuts off a member for a while, again and again.
-func (g *triple) trouble(stop <-chan struct{}) {
+// injectFaults repeatedly partitions a random member for a while.
+func (g *testGroup) injectFaults(stop <-chan struct{}) {
 	for {
 		g.mu.Lock()
-		victim := uint64(1 + g.random.Intn(3))
-		g.cut[victim] = true
-		g.loss = 0.05
+		member := uint64(1 + g.random.Intn(3))
+		g.partitioned[member] = true
+		g.lossRate = 0.05
 		g.mu.Unlock()
 		time.Sleep(1500 * time.Millisecond)
 		g.mu.Lock()
-		g.cut[victim] = false
+		g.partitioned[member] = false
 		g.mu.Unlock()
 		select {
 		case <-stop:
@@ -178,8 +178,8 @@
 	}
 }
 
-// apply sends one command, again and again, until its outcome is known.
-func (g *triple) apply(id string, base uint64) intentOutput {
+// apply sends one command repeatedly until its outcome is known.
+func (g *testGroup) apply(id string, base uint64) intentOutput {
 	cmd := &schema.Command{Id: id, Operator: "ann", Body: &schema.Command_ApplyIntent{ApplyIntent: &schema.ApplyIntent{
 		Base: base, Intent: &schema.Intent{
 			Name: "a", Customer: &schema.CustomerIntent{Name: "c"},
