--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -1,8 +1,8 @@
-// Package membership tells which hosts of a deployment are alive. Each host
-// probes one other host per period, asks a few others to probe for it before it
-// suspects one, and lets news ride on the probes, so that the cost per host
-// does not grow with the number of hosts (after SWIM by Das, Gupta and
-// Motivala, 2002).
+// Package membership detects which hosts of a deployment are alive, with the SWIM
+// protocol (Das, Gupta and Motivala, 2002). Each host probes one other host per
+// interval, requests indirect probes from a few others before it suspects a host,
+// and piggybacks state changes on the probes, so that the cost per host does not
+// grow with the number of hosts.
 package membership
 
 import (
@@ -15,41 +15,45 @@
 )
 
 const (
-	// indirectProbes is how many others are asked to probe a silent host, so
-	// that a cut in one direction or on one path does not make it suspect.
+	// indirectProbes is the number of other hosts that are requested to probe a
+	// silent host, so that the failure of one path or one direction does not make
+	// it suspect.
 	indirectProbes = 3
-	// factsPerProbe bounds the size of a datagram.
-	factsPerProbe = 8
-	// spreadFactor times log2 of the hosts is how often a host repeats news.
-	spreadFactor = 3
-	// One probe in deadProbeEvery goes to a dead host: hosts that were cut off
-	// find each other again without being told.
-	deadProbeEvery = 4
-
-	// The defaults of Config.
-	defaultPeriod     = 500 * time.Millisecond
-	defaultAckWait    = 200 * time.Millisecond
-	defaultSuspectFor = 2 * time.Second
+	// maxFactsPerProbe bounds the size of a datagram.
+	maxFactsPerProbe = 8
+	// retransmitFactor times log2 of the number of hosts is the number of times
+	// that a host sends each fact.
+	retransmitFactor = 3
+	// In one of deadProbePeriods periods a dead host is probed, so that partitioned
+	// hosts find each other again without operator action.
+	deadProbePeriods = 4
+
+	// Defaults of Config.
+	defaultProbeInterval    = 500 * time.Millisecond
+	defaultProbeTimeout     = 200 * time.Millisecond
+	defaultSuspicionTimeout = 2 * time.Second
 )
 
 // Config configures a List. Self, Incarnation, Hosts and Random are required.
 type Config struct {
 	// Self is this host's name.
 	Self string
-	// Incarnation is higher than that of every earlier process of this host.
+	// Incarnation must be higher than that of every earlier process of this host.
 	Incarnation uint64
-	// Hosts names every host of the deployment.
+	// Hosts contains the name of every host of the deployment.
 	Hosts []string
-	// ProbeInterval is the time between two probes of this host.
+	// ProbeInterval is the interval between two probes by this host.
 	ProbeInterval time.Duration
-	// ProbeTimeout is how long a direct probe may take before others are asked.
+	// ProbeTimeout is the timeout of a direct probe, after which indirect probes are
+	// requested.
 	ProbeTimeout time.Duration
-	// SuspicionTimeout is how long a suspect may take to refute.
+	// SuspicionTimeout is how long a suspect host has to refute the suspicion before
+	// it is considered dead.
 	SuspicionTimeout time.Duration
 	Random           func(n int) int
 }
 
-// Datagram is a datagram for a host.
+// Datagram is a probe to be sent to a host.
 type Datagram struct {
 	To    string
 	Probe *schema.Probe
@@ -57,13 +61,13 @@
 
 type hostEntry struct {
 	fact *schema.HostFact
-	// since is when the host became suspect.
-	since time.Time
-	// spread counts how often the fact was passed on.
-	spread int
+	// suspectSince is when the host became suspect.
+	suspectSince time.Time
+	// transmissions counts how often the fact was sent to others.
+	transmissions int
 }
 
-type openProbe struct {
+type pendingProbe struct {
 	target   string
 	sent     time.Time
 	indirect bool
@@ -75,43 +79,44 @@
 	sent     time.Time
 }
 
-// List is the state of one host. It has no clock and no network of its own and
-// is not safe for several goroutines.
+// List is the membership state of one host. It has no clock and no network of its
+// own and is not safe for concurrent use.
 type List struct {
 	cfg   Config
 	self  *schema.HostFact
 	hosts map[string]*hostEntry
-	// order is the round in which others are probed; next points into it.
+	// order is the order in which other hosts are probed; next is an index into it.
 	order    []string
 	next     int
 	periods  int
 	lastTick time.Time
 	sequence uint64
-	open     map[uint64]*openProbe
+	pending  map[uint64]*pendingProbe
 	relays   map[uint64]relay
-	// fresh names the hosts whose news is still passed on. It is empty in quiet
-	// times, so that a probe costs the same with any number of hosts.
-	fresh   []string
-	changed bool
+	// changedHosts lists the hosts whose facts are still sent to others. It is empty
+	// while nothing changes, so that the cost of a probe does not depend on the
+	// number of hosts.
+	changedHosts []string
+	changed      bool
 }
 
-// NewList returns a list in which no other host is alive yet.
+// NewList returns a list in which all other hosts are dead.
 func NewList(cfg Config) *List {
 	if cfg.ProbeInterval == 0 {
-		cfg.ProbeInterval = defaultPeriod
+		cfg.ProbeInterval = defaultProbeInterval
 	}
 	if cfg.ProbeTimeout == 0 {
-		cfg.ProbeTimeout = defaultAckWait
+		cfg.ProbeTimeout = defaultProbeTimeout
 	}
 	if cfg.SuspicionTimeout == 0 {
-		cfg.SuspicionTimeout = defaultSuspectFor
+		cfg.SuspicionTimeout = defaultSuspicionTimeout
 	}
 	l := &List{
-		cfg:    cfg,
-		self:   &schema.HostFact{Host: cfg.Self, Incarnation: cfg.Incarnation},
-		hosts:  map[string]*hostEntry{},
-		open:   map[uint64]*openProbe{},
-		relays: map[uint64]relay{},
+		cfg:     cfg,
+		self:    &schema.HostFact{Host: cfg.Self, Incarnation: cfg.Incarnation},
+		hosts:   map[string]*hostEntry{},
+		pending: map[uint64]*pendingProbe{},
+		relays:  map[uint64]relay{},
 	}
 	for _, h := range cfg.Hosts {
 		if h == cfg.Self {
@@ -125,7 +130,7 @@
 	return l
 }
 
-// Facts returns what is known of every host, this one first.
+// Facts returns the known state of every host, this host first.
 func (l *List) Facts() []*schema.HostFact {
 	out := []*schema.HostFact{l.self}
 	for _, h := range slices.Sorted(maps.Keys(l.hosts)) {
@@ -134,14 +139,14 @@
 	return out
 }
 
-// TakeChanged reports whether any host changed since the last call.
+// TakeChanged reports whether the state of any host has changed since the last call.
 func (l *List) TakeChanged() bool {
 	c := l.changed
 	l.changed = false
 	return c
 }
 
-// SetLoad sets the number of requests in flight that others are told.
+// SetLoad sets the number of requests in flight that is sent to other hosts.
 func (l *List) SetLoad(load uint32) {
 	l.self = &schema.HostFact{
 		Host: l.self.GetHost(), Incarnation: l.self.GetIncarnation(), State: l.self.GetState(),
@@ -149,14 +154,14 @@
 	}
 }
 
-// AnnounceStop tells others at once that this host takes no new callers, and later
-// with left that it is gone.
+// AnnounceStop returns datagrams to all other hosts which announce that this host
+// accepts no new callers or, with left, that it has left.
 func (l *List) AnnounceStop(left bool) []Datagram {
 	state := schema.HostState_HOST_STATE_ALIVE
 	if left {
 		state = schema.HostState_HOST_STATE_LEFT
 	}
-	l.renew(state, true)
+	l.updateSelf(state, true)
 	var out []Datagram
 	for _, h := range l.order {
 		out = append(out, l.ping(h))
@@ -164,8 +169,9 @@
 	return out
 }
 
-// renew makes the host's own news supersede what others believe.
-func (l *List) renew(state schema.HostState, stopping bool) {
+// updateSelf changes this host's own fact and raises its incarnation, so that it
+// supersedes the facts that other hosts have.
+func (l *List) updateSelf(state schema.HostState, stopping bool) {
 	l.self = &schema.HostFact{
 		Host: l.self.GetHost(), Incarnation: l.self.GetIncarnation() + 1, State: state,
 		Load: l.self.GetLoad(), Stopping: stopping,
@@ -173,10 +179,10 @@
 	l.changed = true
 }
 
-// Tick does what is due and returns the datagrams to send. It is called a few
-// times per AckWait.
+// Tick performs due work and returns the datagrams to send. It must be called a few
+// times per ProbeTimeout.
 func (l *List) Tick(now time.Time) []Datagram {
-	out := l.checkOpen(now)
+	out := l.checkPending(now)
 	l.checkSuspects(now)
 	if !l.lastTick.IsZero() && now.Sub(l.lastTick) < l.cfg.ProbeInterval {
 		return out
@@ -196,10 +202,11 @@
 	return out
 }
 
-// nextTarget goes round all hosts in an order that is shuffled each time, so
-// that a dead one is probed within a bounded number of periods.
+// nextTarget returns the next host to probe. It iterates over all hosts in an order
+// that is shuffled in each round, so that each host is probed within a bounded number
+// of periods.
 func (l *List) nextTarget() (string, bool) {
-	wantDead := l.periods%deadProbeEvery == 0
+	probeDead := l.periods%deadProbePeriods == 0
 	for range 2 * len(l.order) {
 		if l.next >= len(l.order) {
 			l.shuffle()
@@ -209,7 +216,7 @@
 		l.next++
 		state := l.hosts[h].fact.GetState()
 		dead := state == schema.HostState_HOST_STATE_DEAD || state == schema.HostState_HOST_STATE_LEFT
-		if dead == wantDead {
+		if dead == probeDead {
 			return h, true
 		}
 	}
@@ -228,7 +235,7 @@
 
 func (l *List) probe(now time.Time, target string) Datagram {
 	s := l.ping(target)
-	l.open[s.Probe.GetSequence()] = &openProbe{target: target, sent: now}
+	l.pending[s.Probe.GetSequence()] = &pendingProbe{target: target, sent: now}
 	return s
 }
 
@@ -236,22 +243,22 @@
 	l.sequence++
 	return Datagram{target, &schema.Probe{
 		Kind: schema.ProbeKind_PROBE_KIND_PING, From: l.cfg.Self, Target: target,
-		Sequence: l.sequence, Facts: l.newsFor(target),
+		Sequence: l.sequence, Facts: l.factsFor(target),
 	}}
 }
 
-func (l *List) checkOpen(now time.Time) []Datagram {
+func (l *List) checkPending(now time.Time) []Datagram {
 	var out []Datagram
-	for _, seq := range slices.Sorted(maps.Keys(l.open)) {
-		p := l.open[seq]
+	for _, seq := range slices.Sorted(maps.Keys(l.pending)) {
+		p := l.pending[seq]
 		waited := now.Sub(p.sent)
 		switch {
 		case waited >= l.cfg.ProbeInterval:
-			delete(l.open, seq)
+			delete(l.pending, seq)
 			l.suspect(now, p.target)
 		case waited >= l.cfg.ProbeTimeout && !p.indirect:
 			p.indirect = true
-			out = append(out, l.askOthers(p.target, seq)...)
+			out = append(out, l.probeIndirectly(p.target, seq)...)
 		}
 	}
 	for seq, r := range l.relays {
@@ -262,7 +269,7 @@
 	return out
 }
 
-func (l *List) askOthers(target string, seq uint64) []Datagram {
+func (l *List) probeIndirectly(target string, seq uint64) []Datagram {
 	var alive []string
 	for h, e := range l.hosts {
 		if h != target && e.fact.GetState() == schema.HostState_HOST_STATE_ALIVE {
@@ -275,7 +282,7 @@
 		i := l.cfg.Random(len(alive))
 		out = append(out, Datagram{alive[i], &schema.Probe{
 			Kind: schema.ProbeKind_PROBE_KIND_PING_FOR, From: l.cfg.Self, Target: target,
-			Sequence: seq, Facts: l.news(),
+			Sequence: seq, Facts: l.nextFacts(),
 		}})
 		alive = slices.Delete(alive, i, i+1)
 	}
@@ -287,7 +294,7 @@
 	if e.fact.GetState() != schema.HostState_HOST_STATE_ALIVE {
 		return
 	}
-	l.adopt(now, &schema.HostFact{
+	l.setFact(now, &schema.HostFact{
 		Host: host, Incarnation: e.fact.GetIncarnation(), State: schema.HostState_HOST_STATE_SUSPECT,
 		Load: e.fact.GetLoad(), Stopping: e.fact.GetStopping(),
 	})
@@ -295,23 +302,23 @@
 
 func (l *List) checkSuspects(now time.Time) {
 	for _, e := range l.hosts {
-		if e.fact.GetState() != schema.HostState_HOST_STATE_SUSPECT || now.Sub(e.since) < l.cfg.SuspicionTimeout {
+		if e.fact.GetState() != schema.HostState_HOST_STATE_SUSPECT || now.Sub(e.suspectSince) < l.cfg.SuspicionTimeout {
 			continue
 		}
-		l.adopt(now, &schema.HostFact{
+		l.setFact(now, &schema.HostFact{
 			Host: e.fact.GetHost(), Incarnation: e.fact.GetIncarnation(), State: schema.HostState_HOST_STATE_DEAD,
 		})
 	}
 }
 
-// Receive takes in a datagram and returns the answers. Datagrams of hosts that
-// are not configured are dropped.
+// Receive processes a datagram and returns the datagrams to send in response. It
+// drops datagrams of hosts that are not configured.
 func (l *List) Receive(now time.Time, p *schema.Probe) []Datagram {
 	if _, known := l.hosts[p.GetFrom()]; !known {
 		return nil
 	}
 	for _, f := range p.GetFacts() {
-		l.hear(now, f)
+		l.receiveFact(now, f)
 	}
 	switch p.GetKind() {
 	case schema.ProbeKind_PROBE_KIND_PING:
@@ -324,19 +331,19 @@
 		l.relays[s.Probe.GetSequence()] = relay{p.GetFrom(), p.GetSequence(), now}
 		return []Datagram{s}
 	case schema.ProbeKind_PROBE_KIND_ACK:
-		return l.acked(p)
+		return l.handleAck(p)
 	default:
 		return nil
 	}
 }
 
-func (l *List) acked(p *schema.Probe) []Datagram {
+func (l *List) handleAck(p *schema.Probe) []Datagram {
 	if r, ok := l.relays[p.GetSequence()]; ok {
 		delete(l.relays, p.GetSequence())
 		return []Datagram{{r.origin, l.ack(r.origin, p.GetTarget(), r.sequence)}}
 	}
-	if o, ok := l.open[p.GetSequence()]; ok && o.target == p.GetTarget() {
-		delete(l.open, p.GetSequence())
+	if probe, ok := l.pending[p.GetSequence()]; ok && probe.target == p.GetTarget() {
+		delete(l.pending, p.GetSequence())
 	}
 	return nil
 }
@@ -344,12 +351,12 @@
 func (l *List) ack(to, target string, seq uint64) *schema.Probe {
 	return &schema.Probe{
 		Kind: schema.ProbeKind_PROBE_KIND_ACK, From: l.cfg.Self, Target: target,
-		Sequence: seq, Facts: l.newsFor(to),
+		Sequence: seq, Facts: l.factsFor(to),
 	}
 }
 
-// hear compares a fact with what is known.
-func (l *List) hear(now time.Time, f *schema.HostFact) {
+// receiveFact merges a fact received from another host into the list.
+func (l *List) receiveFact(now time.Time, f *schema.HostFact) {
 	if f.GetHost() == l.cfg.Self {
 		l.refute(f)
 		return
@@ -362,17 +369,17 @@
 	newer := f.GetIncarnation() > old.GetIncarnation() ||
 		f.GetIncarnation() == old.GetIncarnation() && f.GetState() > old.GetState()
 	if newer {
-		l.adopt(now, f)
+		l.setFact(now, f)
 		return
 	}
 	if f.GetIncarnation() == old.GetIncarnation() && f.GetState() == old.GetState() {
-		// Load is told directly by its owner and not passed on as news.
+		// The load of a host is updated directly and not retransmitted as a change.
 		e.fact = f
 	}
 }
 
-// refute answers a false word about this host by a higher incarnation. It also
-// covers a clock that was set back between two processes of this host.
+// refute overrides a wrong fact about this host with a higher incarnation. This also
+// handles a clock that was set back between two processes of this host.
 func (l *List) refute(f *schema.HostFact) {
 	if f.GetIncarnation() < l.self.GetIncarnation() {
 		return
@@ -381,45 +388,46 @@
 		return
 	}
 	l.self.Incarnation = f.GetIncarnation()
-	l.renew(l.self.GetState(), l.self.GetStopping())
+	l.updateSelf(l.self.GetState(), l.self.GetStopping())
 }
 
-func (l *List) adopt(now time.Time, f *schema.HostFact) {
+func (l *List) setFact(now time.Time, f *schema.HostFact) {
 	e := l.hosts[f.GetHost()]
 	if f.GetState() == schema.HostState_HOST_STATE_SUSPECT {
-		e.since = now
+		e.suspectSince = now
 	}
 	e.fact = f
-	e.spread = 0
-	if !slices.Contains(l.fresh, f.GetHost()) {
-		l.fresh = append(l.fresh, f.GetHost())
+	e.transmissions = 0
+	if !slices.Contains(l.changedHosts, f.GetHost()) {
+		l.changedHosts = append(l.changedHosts, f.GetHost())
 	}
 	l.changed = true
 }
 
-// news returns this host's own fact and the least repeated others.
-func (l *List) news() []*schema.HostFact {
+// nextFacts returns this host's own fact and the changed facts that were sent least
+// often.
+func (l *List) nextFacts() []*schema.HostFact {
 	out := []*schema.HostFact{l.self}
-	slices.SortStableFunc(l.fresh, func(a, b string) int { return l.hosts[a].spread - l.hosts[b].spread })
-	for _, h := range l.fresh[:min(len(l.fresh), factsPerProbe-1)] {
-		l.hosts[h].spread++
+	slices.SortStableFunc(l.changedHosts, func(a, b string) int { return l.hosts[a].transmissions - l.hosts[b].transmissions })
+	for _, h := range l.changedHosts[:min(len(l.changedHosts), maxFactsPerProbe-1)] {
+		l.hosts[h].transmissions++
 		out = append(out, l.hosts[h].fact)
 	}
-	l.fresh = slices.DeleteFunc(l.fresh, func(h string) bool { return l.hosts[h].spread >= l.spreadLimit() })
+	l.changedHosts = slices.DeleteFunc(l.changedHosts, func(h string) bool { return l.hosts[h].transmissions >= l.transmitLimit() })
 	return out
 }
 
-// newsFor adds what is believed of the receiver itself, unless it is alive: only
-// it can refute that, by a higher incarnation. Hosts that were cut off from each
-// other would otherwise hold each other for dead for ever.
-func (l *List) newsFor(host string) []*schema.HostFact {
-	out := l.news()
+// factsFor returns nextFacts and the fact about the receiver itself unless it is
+// alive: only the receiver can refute it, with a higher incarnation. Otherwise hosts
+// that were partitioned from each other would consider each other dead forever.
+func (l *List) factsFor(host string) []*schema.HostFact {
+	out := l.nextFacts()
 	if e, ok := l.hosts[host]; ok && e.fact.GetState() != schema.HostState_HOST_STATE_ALIVE && e.fact.GetIncarnation() > 0 {
 		out = append(out, e.fact)
 	}
 	return out
 }
 
-func (l *List) spreadLimit() int {
-	return spreadFactor * bits.Len(uint(len(l.cfg.Hosts)))
+func (l *List) transmitLimit() int {
+	return retransmitFactor * bits.Len(uint(len(l.cfg.Hosts)))
 }
--- a/internal/membership/list_test.go
+++ b/internal/membership/list_test.go
@@ -15,21 +15,21 @@
 
 const tick = 50 * time.Millisecond
 
-// net runs lists over a simulated network.
-type net struct {
-	now     time.Time
-	names   []string
-	lists   map[string]*membership.List
-	down    map[string]bool
-	blocked map[[2]string]bool
-	random  *rand.Rand
-	loss    float64
+// network runs lists over a simulated network.
+type network struct {
+	now      time.Time
+	names    []string
+	lists    map[string]*membership.List
+	down     map[string]bool
+	cutLinks map[[2]string]bool
+	random   *rand.Rand
+	lossRate float64
 }
 
-func newNet(hosts int) *net {
-	n := &net{
+func newNetwork(hosts int) *network {
+	n := &network{
 		now: time.Unix(1_790_000_000, 0), lists: map[string]*membership.List{}, down: map[string]bool{},
-		blocked: map[[2]string]bool{}, random: rand.New(rand.NewSource(1)),
+		cutLinks: map[[2]string]bool{}, random: rand.New(rand.NewSource(1)),
 	}
 	for i := range hosts {
 		n.names = append(n.names, fmt.Sprintf("h%02d", i))
@@ -40,23 +40,23 @@
 	return n
 }
 
-func (n *net) start(name string, incarnation uint64) {
+func (n *network) start(name string, incarnation uint64) {
 	n.down[name] = false
 	n.lists[name] = membership.NewList(membership.Config{
 		Self: name, Incarnation: incarnation, Hosts: n.names, Random: n.random.Intn,
 	})
 }
 
-func (n *net) deliver(from string, sends []membership.Datagram) {
-	for _, s := range sends {
-		if n.down[s.To] || n.blocked[[2]string{from, s.To}] || n.random.Float64() < n.loss {
+func (n *network) deliver(from string, datagrams []membership.Datagram) {
+	for _, d := range datagrams {
+		if n.down[d.To] || n.cutLinks[[2]string{from, d.To}] || n.random.Float64() < n.lossRate {
 			continue
 		}
-		n.deliver(s.To, n.lists[s.To].Receive(n.now, s.Probe))
+		n.deliver(d.To, n.lists[d.To].Receive(n.now, d.Probe))
 	}
 }
 
-func (n *net) run(d time.Duration) {
+func (n *network) run(d time.Duration) {
 	for end := n.now.Add(d); n.now.Before(end); n.now = n.now.Add(tick) {
 		for _, name := range n.names {
 			if !n.down[name] {
@@ -66,20 +66,20 @@
 	}
 }
 
-func (n *net) state(at, of string) schema.HostState {
-	for _, f := range n.lists[at].Facts() {
-		if f.GetHost() == of {
+func (n *network) state(observer, host string) schema.HostState {
+	for _, f := range n.lists[observer].Facts() {
+		if f.GetHost() == host {
 			return f.GetState()
 		}
 	}
 	return -1
 }
 
-func (n *net) allSee(t *testing.T, of string, want schema.HostState) {
+func (n *network) requireState(t *testing.T, host string, want schema.HostState) {
 	t.Helper()
-	for _, at := range n.names {
-		if at != of && !n.down[at] {
-			require.Equal(t, want, n.state(at, of), "%s about %s", at, of)
+	for _, observer := range n.names {
+		if observer != host && !n.down[observer] {
+			require.Equal(t, want, n.state(observer, host), "%s about %s", observer, host)
 		}
 	}
 }
@@ -90,30 +90,29 @@
 	left  = schema.HostState_HOST_STATE_LEFT
 )
 
-func TestHostsFindEachOtherAndNoticeTheDead(t *testing.T) {
-	n := newNet(20)
+func TestHostsDetectAliveAndDeadHosts(t *testing.T) {
+	n := newNetwork(20)
 	n.run(5 * time.Second)
 	for _, name := range n.names {
-		n.allSee(t, name, alive)
+		n.requireState(t, name, alive)
 	}
 	n.down["h03"] = true
 	n.run(20 * time.Second)
-	n.allSee(t, "h03", dead)
+	n.requireState(t, "h03", dead)
 	n.start("h03", 2)
 	n.run(10 * time.Second)
-	n.allSee(t, "h03", alive)
+	n.requireState(t, "h03", alive)
 	for _, name := range n.names {
 		require.Equal(t, alive, n.state("h03", name))
 	}
 }
 
-// TestAsymmetricCutSuspectsNobody: h00 can send to h01 but hears nothing back.
-// Others probe h01 in its place, so that one bad path does not take a healthy
-// host out of the directory.
-func TestAsymmetricCutSuspectsNobody(t *testing.T) {
-	n := newNet(10)
+// h00 can send to h01 but receives no replies from it. Indirect probes must prevent
+// the failure of one path from removing a healthy host from the directory.
+func TestOneWayPartitionDeclaresNoHostDead(t *testing.T) {
+	n := newNetwork(10)
 	n.run(5 * time.Second)
-	n.blocked[[2]string{"h01", "h00"}] = true
+	n.cutLinks[[2]string{"h01", "h00"}] = true
 	for range 60 {
 		n.run(time.Second)
 		require.NotEqual(t, dead, n.state("h00", "h01"))
@@ -121,55 +120,55 @@
 	}
 }
 
-// TestPartsOfANetworkMeetAgain: two parts are cut off for minutes, hold each
-// other for dead, and find each other without being told.
-func TestPartsOfANetworkMeetAgain(t *testing.T) {
-	n := newNet(8)
+// Two halves of the network are partitioned for minutes and consider each other dead.
+// They must find each other after the partition without operator action.
+func TestPartitionedHostsRejoin(t *testing.T) {
+	n := newNetwork(8)
 	n.run(5 * time.Second)
 	for _, a := range n.names[:4] {
 		for _, b := range n.names[4:] {
-			n.blocked[[2]string{a, b}], n.blocked[[2]string{b, a}] = true, true
+			n.cutLinks[[2]string{a, b}], n.cutLinks[[2]string{b, a}] = true, true
 		}
 	}
 	n.run(3 * time.Minute)
 	require.Equal(t, dead, n.state("h00", "h07"))
-	n.blocked = map[[2]string]bool{}
+	n.cutLinks = map[[2]string]bool{}
 	n.run(time.Minute)
 	for _, name := range n.names {
-		n.allSee(t, name, alive)
+		n.requireState(t, name, alive)
 	}
 }
 
-func TestLossAloneKillsNobody(t *testing.T) {
-	n := newNet(10)
+func TestPacketLossDeclaresNoHostDead(t *testing.T) {
+	n := newNetwork(10)
 	n.run(5 * time.Second)
-	n.loss = 0.1
+	n.lossRate = 0.1
 	for range 120 {
 		n.run(time.Second)
 		for _, name := range n.names {
-			n.allSeeNot(t, name, dead)
+			n.requireNotState(t, name, dead)
 		}
 	}
 }
 
-func (n *net) allSeeNot(t *testing.T, of string, state schema.HostState) {
+func (n *network) requireNotState(t *testing.T, host string, state schema.HostState) {
 	t.Helper()
-	for _, at := range n.names {
-		require.NotEqual(t, state, n.state(at, of), "%s about %s", at, of)
+	for _, observer := range n.names {
+		require.NotEqual(t, state, n.state(observer, host), "%s about %s", observer, host)
 	}
 }
 
-func TestStoppingIsToldAtOnce(t *testing.T) {
-	n := newNet(6)
+func TestStoppingIsAnnouncedImmediately(t *testing.T) {
+	n := newNetwork(6)
 	n.run(5 * time.Second)
 	n.deliver("h02", n.lists["h02"].AnnounceStop(false))
-	for _, at := range n.names {
-		for _, f := range n.lists[at].Facts() {
+	for _, observer := range n.names {
+		for _, f := range n.lists[observer].Facts() {
 			if f.GetHost() == "h02" {
-				assert.True(t, f.GetStopping(), at)
+				assert.True(t, f.GetStopping(), observer)
 			}
 		}
 	}
 	n.deliver("h02", n.lists["h02"].AnnounceStop(true))
-	n.allSee(t, "h02", left)
+	n.requireState(t, "h02", left)
 }
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	maxDatagram   = 8 << 10
-	ticksPerWait  = 4
-	inboxSize     = 256
-	stopAnnounces = 2
+	maxDatagram          = 8 << 10
+	ticksPerProbeTimeout = 4
+	inboxSize            = 256
+	stopAnnouncements    = 2
 )
 
 // ServiceConfig configures a Service. All fields are required but Log.
@@ -23,14 +23,14 @@
 	List *List
 	// Conn is bound to this host's peer address.
 	Conn net.PacketConn
-	// Addresses holds the peer address of every host.
+	// Addresses contains the peer address of every host by name.
 	Addresses map[string]string
 	Log       logr.Logger
-	// Load returns the requests in flight.
+	// Load returns the number of requests in flight.
 	Load func() int
 }
 
-// Service runs a List over datagrams. All methods are safe from any goroutine.
+// Service runs a List over datagrams. It is safe for concurrent use.
 type Service struct {
 	cfg  ServiceConfig
 	stop chan struct{}
@@ -43,14 +43,15 @@
 	changed chan struct{}
 }
 
-// NewService starts to probe and to answer probes. It owns the connection.
+// NewService starts to send and to answer probes. It takes ownership of the
+// connection.
 func NewService(cfg ServiceConfig) *Service {
 	s := &Service{
 		cfg: cfg, list: cfg.List, changed: make(chan struct{}),
 		stop: make(chan struct{}), done: make(chan struct{}),
 	}
 	inbox := make(chan *schema.Probe, inboxSize)
-	ticker := time.NewTicker(s.list.cfg.ProbeTimeout / ticksPerWait)
+	ticker := time.NewTicker(s.list.cfg.ProbeTimeout / ticksPerProbeTimeout)
 	var reader sync.WaitGroup
 	reader.Add(1)
 	go func() {
@@ -87,7 +88,7 @@
 			case <-s.stop:
 				return
 			default:
-				// A refused datagram to a dead host is reported here too.
+				// A datagram rejected by a dead host is reported here too.
 				if _, temporary := err.(net.Error); temporary {
 					continue
 				}
@@ -107,55 +108,55 @@
 
 func (s *Service) step(f func() []Datagram) {
 	s.mu.Lock()
-	sends := f()
+	datagrams := f()
 	if s.list.TakeChanged() {
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
 	s.mu.Unlock()
-	for _, send := range sends {
-		s.send(send)
+	for _, datagram := range datagrams {
+		s.send(datagram)
 	}
 }
 
-// send drops what cannot be sent: a lost probe is what probing is for.
-func (s *Service) send(send Datagram) {
-	address, err := net.ResolveUDPAddr("udp", s.cfg.Addresses[send.To])
+// send sends a datagram. Errors are logged only: probing tolerates lost datagrams.
+func (s *Service) send(datagram Datagram) {
+	address, err := net.ResolveUDPAddr("udp", s.cfg.Addresses[datagram.To])
 	if err != nil {
 		return
 	}
-	data, err := proto.Marshal(send.Probe)
+	data, err := proto.Marshal(datagram.Probe)
 	if err != nil {
 		return
 	}
 	if _, err := s.cfg.Conn.WriteTo(data, address); err != nil {
-		s.cfg.Log.V(1).Info("probe not sent", "host", send.To, "reason", err.Error())
+		s.cfg.Log.V(1).Info("probe not sent", "host", datagram.To, "reason", err.Error())
 	}
 }
 
-// Facts returns what is known of every host, this one first.
+// Facts returns the known state of every host, this host first.
 func (s *Service) Facts() []*schema.HostFact {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list.Facts()
 }
 
-// Changed returns a channel that is closed when any host changes.
+// Changed returns a channel that is closed when the state of any host changes.
 func (s *Service) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// AnnounceStopping tells all others that this host takes no new callers.
+// AnnounceStopping announces to all other hosts that this host accepts no new callers.
 func (s *Service) AnnounceStopping() {
 	s.step(func() []Datagram { return s.list.AnnounceStop(false) })
 }
 
-// Stop tells all others that this host is gone and ends the service.
+// Stop announces to all other hosts that this host has left, and stops the service.
 func (s *Service) Stop() {
 	s.once.Do(func() {
-		for range stopAnnounces {
+		for range stopAnnouncements {
 			s.step(func() []Datagram { return s.list.AnnounceStop(true) })
 		}
 		close(s.stop)
@@ -164,5 +165,5 @@
 	<-s.done
 }
 
-// Done is closed when the service has stopped.
+// Done returns a channel that is closed when the service has stopped.
 func (s *Service) Done() <-chan struct{} { return s.done }
