--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,4 +1,5 @@
-// Package operator is the client for operators' commands.
+// Package operator implements the client for operator commands and the HTTP handlers
+// for suspect requests.
 package operator
 
 import (
@@ -22,11 +23,11 @@
 	maxReplyBytes = 64 << 20
 )
 
-// ErrRefused is wrapped into every error that carries an answer of the
+// ErrRefused is wrapped by every error that contains an error reply of the
 // deployment.
 var ErrRefused = errors.New("refused")
 
-// Client gives commands to one entry. It is safe from any goroutine.
+// Client sends operator commands to one entry. It is safe for concurrent use.
 type Client struct {
 	address string
 	http    *http.Client
@@ -37,7 +38,8 @@
 	return &Client{address: address, http: &http.Client{Timeout: callTimeout}}
 }
 
-// Apply asks for a plan. The reply may say that the command was not accepted.
+// Apply requests a plan for an intent. The reply contains whether the command was
+// accepted.
 func (c *Client) Apply(ctx context.Context, q *schema.IntentRequest) (*schema.OperatorReply, error) {
 	return c.command(ctx, "/v1/intents", q)
 }
@@ -51,12 +53,12 @@
 	return c.command(ctx, "/v1/plans/"+strconv.FormatUint(plan, 10)+"/"+verb, q)
 }
 
-// Forget tells that a lost server will not come back.
+// Forget declares that a lost server will not return.
 func (c *Client) Forget(ctx context.Context, server string, q *schema.ForgetRequest) (*schema.OperatorReply, error) {
 	return c.command(ctx, "/v1/servers/"+server+"/forget", q)
 }
 
-// Intents lists the plans and the revision for the next command.
+// Intents returns the plans and the revision on which the next command must be based.
 func (c *Client) Intents(ctx context.Context) (*schema.IntentList, error) {
 	out := &schema.IntentList{}
 	return out, c.call(ctx, http.MethodGet, "/v1/intents", nil, out)
@@ -68,19 +70,19 @@
 	return out, c.call(ctx, http.MethodGet, "/v1/plans/"+strconv.FormatUint(number, 10), nil, out)
 }
 
-// Status returns the deployment as the entry sees it.
+// Status returns the state of the deployment as known to the entry.
 func (c *Client) Status(ctx context.Context) (*schema.StatusView, error) {
 	out := &schema.StatusView{}
 	return out, c.call(ctx, http.MethodGet, "/v1/status", nil, out)
 }
 
-// Suspects lists the requests under which servers ended, as the host knows them.
+// Suspects returns the requests during which servers terminated, as known to the host.
 func (c *Client) Suspects(ctx context.Context) (*schema.SuspectList, error) {
 	out := &schema.SuspectList{}
 	return out, c.call(ctx, http.MethodGet, SuspectsPath, nil, out)
 }
 
-// Release has a request held back no longer.
+// Release releases a suspect request from quarantine.
 func (c *Client) Release(ctx context.Context, key string, q *schema.ReleaseRequest) (*schema.OperatorReply, error) {
 	return c.command(ctx, SuspectsPath+"/"+url.PathEscape(key)+"/release", q)
 }
@@ -90,8 +92,8 @@
 	return out, c.call(ctx, http.MethodPost, path, q, out)
 }
 
-// call decodes every answer of the expected shape, whatever its status: a
-// refused command's reply tells more than its status.
+// call decodes every response of the expected type, whatever its HTTP status: the
+// reply to a refused command contains more information than its status.
 func (c *Client) call(ctx context.Context, method, path string, q, out proto.Message) error {
 	var body []byte
 	if q != nil {
@@ -102,7 +104,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.address+path, bytes.NewReader(body))
 	if err != nil {
-		return errors.Newf("make request: %w", err)
+		return errors.Newf("create request: %w", err)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -111,7 +113,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
-		return errors.Newf("read answer of %s: %w", c.address, err)
+		return errors.Newf("read response of %s: %w", c.address, err)
 	}
 	refused := &schema.ErrorReply{}
 	if protojson.Unmarshal(data, refused) == nil && refused.GetError().GetCode() != "" {
@@ -119,7 +121,7 @@
 			refused.GetError().GetMessage(), ErrRefused)
 	}
 	if err := protojson.Unmarshal(data, out); err != nil {
-		return errors.Newf("read answer of %s (status %d): %w", c.address, resp.StatusCode, err)
+		return errors.Newf("decode response of %s (status %d): %w", c.address, resp.StatusCode, err)
 	}
 	return nil
 }
--- a/internal/operator/suspects.go
+++ b/internal/operator/suspects.go
@@ -16,22 +16,24 @@
 	"fennelyard/internal/schema"
 )
 
-// SuspectsPath is where requests that end their servers are listed, and released below it.
+// SuspectsPath is the path under which requests that terminate their servers are listed
+// and released.
 const SuspectsPath = "/v1/suspects"
 
-// maxReleaseBytes bounds a release: an operator's name.
+// maxReleaseBytes bounds the body of a release, which contains an operator's name.
 const maxReleaseBytes = 4 << 10
 
-// SuspectsConfig configures the answers to operators. All fields are required.
+// SuspectsConfig configures the handlers for suspect requests. All fields are required.
 type SuspectsConfig struct {
-	// List returns what this host knows.
+	// List returns the suspect requests known to this host.
 	List func() []*schema.SuspectView
-	// Release has a request held back no longer; it reports whether it was.
+	// Release releases a request from quarantine. It returns false if the request
+	// was not suspect.
 	Release func(quarantine.Key) bool
 	Log     logr.Logger
 }
 
-// RegisterSuspects answers operators about requests that end their servers.
+// RegisterSuspects registers the handlers for listing and releasing suspect requests.
 func RegisterSuspects(r *echo.Echo, cfg SuspectsConfig) {
 	r.GET(SuspectsPath, func(c echo.Context) error {
 		return WriteProto(c, http.StatusOK, &schema.SuspectList{Suspects: cfg.List()})
@@ -67,12 +69,12 @@
 	return WriteProto(c, r.Status(), r.ErrorReply(""))
 }
 
-// WriteProto answers with a message as JSON.
+// WriteProto writes a message as the JSON response.
 func WriteProto(c echo.Context, status int, m proto.Message) error {
 	data, err := protojson.MarshalOptions{EmitUnpopulated: true}.Marshal(m)
 	if err != nil {
-		return errors.Newf("encode answer: %w", err)
+		return errors.Newf("encode response: %w", err)
 	}
-	// protojson varies its spacing on purpose; an interface should not.
+	// The output of protojson has random spacing; json.RawMessage normalizes it.
 	return c.JSON(status, json.RawMessage(data))
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer carries calls between the hosts of a deployment over gRPC.
+// Package peer implements gRPC calls between the hosts of a deployment.
 package peer
 
 import (
@@ -20,45 +20,45 @@
 )
 
 const (
-	// maxMessageBytes lets a whole snapshot through in one message.
+	// maxMessageBytes is large enough for a complete snapshot in one message.
 	maxMessageBytes = 64 << 20
-	// A connection on which nothing comes back for pingAfter+pingWait is closed:
-	// something between the hosts may have lost track of it while new
+	// A connection on which nothing is received for keepaliveTime+keepaliveTimeout is
+	// closed: a device between the hosts may have lost its state while new
 	// connections work.
-	pingAfter   = 2 * time.Second
-	pingWait    = 2 * time.Second
-	minPing     = time.Second
-	dialBackoff = 500 * time.Millisecond
-	// silentLimit is how many calls in a row may time out on one connection
-	// before it is replaced by a fresh one.
-	silentLimit = 2
+	keepaliveTime    = 2 * time.Second
+	keepaliveTimeout = 2 * time.Second
+	minKeepaliveTime = time.Second
+	maxDialBackoff   = 500 * time.Millisecond
+	// maxTimeouts is the number of consecutive calls that time out on a connection
+	// before it is replaced by a new one.
+	maxTimeouts = 2
 )
 
-func flatBackoff() backoff.Config {
-	return backoff.Config{BaseDelay: dialBackoff / 5, Multiplier: 1.5, Jitter: 0.2, MaxDelay: dialBackoff}
+func dialBackoff() backoff.Config {
+	return backoff.Config{BaseDelay: maxDialBackoff / 5, Multiplier: 1.5, Jitter: 0.2, MaxDelay: maxDialBackoff}
 }
 
-// DialerConfig configures a Dialer. The zero value talks without TLS.
+// DialerConfig configures a Dialer. The zero value connects over TCP without TLS.
 type DialerConfig struct {
 	// Credentials are nil for plain TCP.
 	Credentials credentials.TransportCredentials
-	// Dial connects to an address; nil: over TCP.
+	// Dial connects to an address; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Dialer keeps one connection per peer address. It is safe from any goroutine.
+// Dialer maintains one connection per peer address. It is safe for concurrent use.
 type Dialer struct {
 	cfg   DialerConfig
 	mu    sync.Mutex
 	conns map[string]*connection
-	// closed is set once no connection may be made any more; guarded by mu.
+	// closed is set by Close and prevents new connections; guarded by mu.
 	closed bool
 }
 
 type connection struct {
 	conn *grpc.ClientConn
-	// silent counts calls in a row that timed out; guarded by Dialer.mu.
-	silent int
+	// timeouts counts consecutive calls that timed out; guarded by Dialer.mu.
+	timeouts int
 }
 
 // NewDialer returns a Dialer without connections.
@@ -69,13 +69,13 @@
 	return &Dialer{cfg: cfg, conns: map[string]*connection{}}
 }
 
-// Client returns a client for a peer; it connects at the first call.
+// Client returns a client for a peer, which connects at the first call.
 func (d *Dialer) Client(address string) (schema.PeerClient, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.closed {
-		// A call that comes while its host stops would leave a connection that nobody
-		// closes, with its goroutines.
+		// A call during the stop of this host would otherwise leak a connection and
+		// its goroutines.
 		return nil, errors.Newf("dial %s: %w", address, net.ErrClosed)
 	}
 	if c, ok := d.conns[address]; ok {
@@ -83,11 +83,11 @@
 	}
 	options := []grpc.DialOption{
 		grpc.WithTransportCredentials(d.cfg.Credentials),
-		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second, Backoff: flatBackoff()}),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingAfter, Timeout: pingWait, PermitWithoutStream: true}),
+		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second, Backoff: dialBackoff()}),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveTime, Timeout: keepaliveTimeout, PermitWithoutStream: true}),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)),
 		grpc.WithDisableServiceConfig(),
-		grpc.WithUnaryInterceptor(d.watchSilence(address)),
+		grpc.WithUnaryInterceptor(d.replaceUnresponsive(address)),
 	}
 	if d.cfg.Dial != nil {
 		options = append(options, grpc.WithContextDialer(d.cfg.Dial))
@@ -100,42 +100,41 @@
 	return schema.NewPeerClient(conn), nil
 }
 
-// watchSilence replaces a connection on which calls keep timing out. The
-// caller sees time-outs to one host while others reach it; the transport's own
-// pings take seconds to notice, and a peer that acknowledges at a lower layer
-// is never noticed by them.
-func (d *Dialer) watchSilence(address string) grpc.UnaryClientInterceptor {
+// replaceUnresponsive returns an interceptor that replaces a connection on which
+// consecutive calls time out, as when one connection to a host fails while others
+// work. The keepalive pings of the transport take seconds to detect this, and they do
+// not detect a peer that still acknowledges at a lower layer.
+func (d *Dialer) replaceUnresponsive(address string) grpc.UnaryClientInterceptor {
 	return func(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn,
 		invoke grpc.UnaryInvoker, opts ...grpc.CallOption,
 	) error {
 		err := invoke(ctx, method, req, reply, cc, opts...)
-		d.note(address, cc, status.Code(err) == codes.DeadlineExceeded)
+		d.recordCall(address, cc, status.Code(err) == codes.DeadlineExceeded)
 		return err
 	}
 }
 
-func (d *Dialer) note(address string, cc *grpc.ClientConn, silent bool) {
+func (d *Dialer) recordCall(address string, cc *grpc.ClientConn, timedOut bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c, ok := d.conns[address]
 	if !ok || c.conn != cc {
 		return
 	}
-	if !silent {
-		c.silent = 0
+	if !timedOut {
+		c.timeouts = 0
 		return
 	}
-	c.silent++
-	if c.silent >= silentLimit {
+	c.timeouts++
+	if c.timeouts >= maxTimeouts {
 		delete(d.conns, address)
-		// Calls in flight on it fail at once and are tried on a fresh one.
+		// Calls in flight on it fail immediately and are retried on a new one.
 		go func() { _ = cc.Close() }()
 	}
 }
 
-// Reset closes the connection to an address, so that the next call comes on a
-// fresh one: a stream that has fallen silent may sit on a connection that
-// something between the hosts has lost track of.
+// Reset closes the connection to an address, so that the next call opens a new one. A
+// silent stream may use a connection whose state was lost by a device between the hosts.
 func (d *Dialer) Reset(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -156,7 +155,8 @@
 	}
 }
 
-// Handlers answers the calls of peers. A nil field answers Unimplemented.
+// Handlers contains the handlers for calls of peers. Calls without a handler fail with
+// Unimplemented.
 type Handlers struct {
 	Deliver    func(context.Context, *schema.Delivery) (*schema.DeliveryReply, error)
 	Hello      func(context.Context, *schema.HelloRequest) (*schema.HelloReply, error)
@@ -178,7 +178,7 @@
 	Handlers    Handlers
 }
 
-// Server answers peers until it is stopped.
+// Server serves calls of peers until it is stopped.
 type Server struct {
 	schema.UnimplementedPeerServer
 	h    Handlers
@@ -186,12 +186,12 @@
 	done chan struct{}
 }
 
-// NewServer starts to answer on the listener.
+// NewServer starts to serve on the listener.
 func NewServer(cfg ServerConfig) *Server {
 	opts := []grpc.ServerOption{
 		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxSendMsgSize(maxMessageBytes),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPing, PermitWithoutStream: true}),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingAfter, Timeout: pingWait}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minKeepaliveTime, PermitWithoutStream: true}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
 	}
 	if cfg.Credentials != nil {
 		opts = append(opts, grpc.Creds(cfg.Credentials))
@@ -200,16 +200,16 @@
 	schema.RegisterPeerServer(s.grpc, s)
 	go func() {
 		defer close(s.done)
-		// It ends with the listener; peers see the refused connection.
+		// Serve returns when the listener is closed; peers see refused connections.
 		_ = s.grpc.Serve(cfg.Listener)
 	}()
 	return s
 }
 
-// Done is closed when the server has stopped.
+// Done returns a channel that is closed when the server has stopped.
 func (s *Server) Done() <-chan struct{} { return s.done }
 
-// Stop ends all calls and closes the listener.
+// Stop cancels all calls and closes the listener.
 func (s *Server) Stop() {
 	s.grpc.Stop()
 	<-s.done
@@ -217,32 +217,32 @@
 
 // Deliver implements schema.PeerServer.
 func (s *Server) Deliver(ctx context.Context, q *schema.Delivery) (*schema.DeliveryReply, error) {
-	return answer(ctx, s.h.Deliver, q)
+	return handle(ctx, s.h.Deliver, q)
 }
 
 // Hello implements schema.PeerServer.
 func (s *Server) Hello(ctx context.Context, q *schema.HelloRequest) (*schema.HelloReply, error) {
-	return answer(ctx, s.h.Hello, q)
+	return handle(ctx, s.h.Hello, q)
 }
 
 // Propose implements schema.PeerServer.
 func (s *Server) Propose(ctx context.Context, q *schema.ProposeRequest) (*schema.ProposeReply, error) {
-	return answer(ctx, s.h.Propose, q)
+	return handle(ctx, s.h.Propose, q)
 }
 
 // Read implements schema.PeerServer.
 func (s *Server) Read(ctx context.Context, q *schema.ReadRequest) (*schema.ReadReply, error) {
-	return answer(ctx, s.h.Read, q)
+	return handle(ctx, s.h.Read, q)
 }
 
 // SendReport implements schema.PeerServer.
 func (s *Server) SendReport(ctx context.Context, q *schema.Report) (*schema.ReportReply, error) {
-	return answer(ctx, s.h.SendReport, q)
+	return handle(ctx, s.h.SendReport, q)
 }
 
 // Fetch implements schema.PeerServer.
 func (s *Server) Fetch(ctx context.Context, q *schema.FetchRequest) (*schema.FetchReply, error) {
-	return answer(ctx, s.h.Fetch, q)
+	return handle(ctx, s.h.Fetch, q)
 }
 
 // Watch implements schema.PeerServer.
@@ -255,7 +255,7 @@
 
 // GiveOrder implements schema.PeerServer.
 func (s *Server) GiveOrder(ctx context.Context, q *schema.GiveOrderRequest) (*schema.GiveOrderReply, error) {
-	return answer(ctx, s.h.GiveOrder, q)
+	return handle(ctx, s.h.GiveOrder, q)
 }
 
 // Attend implements schema.PeerServer.
@@ -274,10 +274,10 @@
 	return s.h.Follow(stream)
 }
 
-func answer[Q, R any](ctx context.Context, h func(context.Context, Q) (R, error), q Q) (R, error) {
+func handle[Q, R any](ctx context.Context, h func(context.Context, Q) (R, error), q Q) (R, error) {
 	if h == nil {
-		var none R
-		return none, status.Error(codes.Unimplemented, "this host has no control role")
+		var zero R
+		return zero, status.Error(codes.Unimplemented, "this host has no control role")
 	}
 	return h(ctx, q)
 }
