--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -175,7 +175,8 @@
 		return
 	}
 	m := &schema.Membership{}
-	// The data was validated when the entry was proposed or read from disk.
+	// The data was encoded by the proposer, and its checksum is verified when it is
+	// read from disk.
 	if err := proto.Unmarshal(e.GetData(), m); err != nil {
 		return
 	}
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -403,8 +403,8 @@
 func (m *Member) fillSnapshot(msg *schema.ConsensusMessage) {
 	s, err := m.cfg.Storage.Snapshot()
 	if err != nil {
-		// The receiver ignores a snapshot with index 0, and the snapshot is sent
-		// again after a timeout.
+		// The message is sent with the index and term set by the core, but without
+		// membership and data.
 		return
 	}
 	msg.Snapshot = s
