--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,5 +1,5 @@
-// Package admission decides which request of an entry goes next, and refuses at
-// once those that cannot be met in time.
+// Package admission decides which queued request of an entry runs next, and
+// immediately refuses requests that cannot complete before their deadline.
 package admission
 
 import (
@@ -12,87 +12,97 @@
 )
 
 const (
-	// DefaultCustomerLimit bounds a customer's requests in one entry.
+	// DefaultCustomerLimit bounds the requests of one customer that wait or run
+	// in one entry.
 	DefaultCustomerLimit = 256
-	// minRetryAfter keeps refused callers from coming back at once.
+	// minRetryAfter keeps refused callers from retrying immediately.
 	minRetryAfter = 250 * time.Millisecond
-	// smoothing is the weight of a new service time in the running mean.
-	smoothing = 0.1
+	// smoothingFactor is the weight of a new service time in the exponential
+	// moving average.
+	smoothingFactor = 0.1
 )
 
-// Config configures a Gate. QueueLimit is required.
+// Config configures a Controller. QueueLimit is required.
 type Config struct {
 	// QueueLimit bounds the requests that wait for one target.
 	QueueLimit int
 	// Now returns the time; nil: time.Now.
 	Now func() time.Time
-	// OnGrant, where set, is told the forecast wait of each request that was
-	// granted and the wait that it had. It must not block.
+	// OnGrant, if set, is called with the forecast and the actual wait of each
+	// granted request. It must not block.
 	OnGrant func(forecast, actual time.Duration)
 }
 
-// Request is what the gate needs to know of a request.
+// Request holds the attributes of a request that admission depends on.
 type Request struct {
 	Customer string
-	// CustomerLimit bounds the customer's requests in this entry; 0: the default.
+	// CustomerLimit bounds the customer's requests in this entry; 0 means
+	// DefaultCustomerLimit.
 	CustomerLimit int
 	Target        string
 	Priority      int32
 	Deadline      time.Time
 }
 
-// Capacity is what stands ready for a target.
+// Capacity is the capacity available to a target.
 type Capacity struct {
 	// Slots is the number of requests that may run at once.
 	Slots int
-	// ReadyIn is, without slots, the time until there are some; below 0 when
-	// there will be none; Known is false while nobody has said.
+	// ReadyIn is the time until slots become available if there are none, or
+	// negative if none will. It is valid only if Known is set: Known is false
+	// until there is a forecast.
 	ReadyIn time.Duration
 	Known   bool
-	// ExpectedSlots is the number of slots that are then expected.
+	// ExpectedSlots is the number of slots expected after ReadyIn.
 	ExpectedSlots int
-	Reason        string
+	// Reason is the message of a refusal if no slots will become available.
+	Reason string
 }
 
-// Controller holds the queues of an entry. All methods are safe from any goroutine.
+// Controller holds the queues of an entry. All methods are safe for concurrent
+// use.
 type Controller struct {
 	cfg Config
 	mu  sync.Mutex
-	// queues and customers hold only what is in use.
+	// queues, by target, and customers, the requests by customer, have entries
+	// only for requests that wait or run.
 	queues    map[string]*queue
 	customers map[string]int
-	service   map[string]time.Duration
-	arrivals  map[string]int
-	// returning counts refusals that told the caller when to come back, since
-	// the last call of Demands.
-	returning map[string]int
+	// serviceTimes holds the mean service time by target.
+	serviceTimes map[string]time.Duration
+	// arrivals and expectedRetries count, by target, the requests and the
+	// refusals with a retry time since the last call of TakeDemands.
+	arrivals        map[string]int
+	expectedRetries map[string]int
 }
 
 type queue struct {
-	target  string
-	supply  Capacity
-	waiting []*Ticket
-	running int
-	// clock is the virtual time of the latest grant; shares holds the virtual
-	// time of each customer that waits or runs here.
-	clock  float64
-	shares map[string]float64
-	held   map[string]int
+	target   string
+	capacity Capacity
+	waiting  []*Ticket
+	running  int
+	// virtualTime is the virtual time of the latest grant; customerTimes holds the
+	// virtual time of each customer with requests in this queue.
+	virtualTime   float64
+	customerTimes map[string]float64
+	// requests counts the waiting and running requests by customer.
+	requests map[string]int
 }
 
-// Ticket is a request's place. Its holder calls Leave exactly once.
+// Ticket is an admitted request. Its holder must call Release exactly once.
 type Ticket struct {
-	gate    *Controller
-	queue   *queue
-	request Request
-	// entered is when the ticket came; granted when its last grant was.
-	entered  time.Time
-	granted  time.Time
-	forecast time.Duration
-	// verdict receives nil for a grant or a refusal, once per wait.
-	verdict chan *refusal.Refusal
-	state   ticketState
-	timer   *time.Timer
+	controller *Controller
+	queue      *queue
+	request    Request
+	// enqueued is the time of admission, grantedAt that of the last grant.
+	enqueued  time.Time
+	grantedAt time.Time
+	// forecastWait is the first estimate of the wait.
+	forecastWait time.Duration
+	// decision receives nil for a grant, or a refusal, once per wait.
+	decision chan *refusal.Refusal
+	state    ticketState
+	timer    *time.Timer
 }
 
 type ticketState int
@@ -100,169 +110,173 @@
 const (
 	ticketWaiting ticketState = iota
 	ticketRunning
-	ticketOver
+	ticketFinished
 )
 
-// NewController returns a gate with empty queues.
+// NewController returns a Controller with empty queues.
 func NewController(cfg Config) *Controller {
 	if cfg.Now == nil {
 		cfg.Now = time.Now
 	}
 	return &Controller{
 		cfg: cfg, queues: map[string]*queue{}, customers: map[string]int{},
-		service: map[string]time.Duration{}, arrivals: map[string]int{}, returning: map[string]int{},
+		serviceTimes: map[string]time.Duration{}, arrivals: map[string]int{}, expectedRetries: map[string]int{},
 	}
 }
 
-// Admit takes a request in, or refuses it at once. The supply is what the
-// caller sees of the target now.
-func (g *Controller) Admit(r Request, s Capacity) (*Ticket, *refusal.Refusal) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now := g.cfg.Now()
-	g.arrivals[r.Target]++
+// Admit queues a request, or refuses it immediately. s is the current capacity
+// of the request's target.
+func (c *Controller) Admit(r Request, s Capacity) (*Ticket, *refusal.Refusal) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.cfg.Now()
+	c.arrivals[r.Target]++
 	if !now.Before(r.Deadline) {
 		return nil, refusal.New(refusal.DeadlinePassed, "the deadline has passed on arrival")
 	}
 	limit := cmp.Or(r.CustomerLimit, DefaultCustomerLimit)
-	if g.customers[r.Customer] >= limit {
+	if c.customers[r.Customer] >= limit {
 		return nil, refusal.New(refusal.CustomerLimit, "customer %q has %d requests here already", r.Customer, limit).
-			WithRetryAfter(g.retryAfter(g.queues[r.Target]))
+			WithRetryAfter(c.retryAfter(c.queues[r.Target]))
 	}
-	q := g.queue(r.Target)
-	if len(q.waiting) >= g.cfg.QueueLimit {
+	q := c.queue(r.Target)
+	if len(q.waiting) >= c.cfg.QueueLimit {
 		return nil, refusal.New(refusal.QueueFull, "%d requests wait for %q", len(q.waiting), r.Target).
-			WithRetryAfter(g.retryAfter(q))
+			WithRetryAfter(c.retryAfter(q))
 	}
-	t := &Ticket{gate: g, queue: q, request: r, entered: now, verdict: make(chan *refusal.Refusal, 1)}
-	g.customers[r.Customer]++
-	q.held[r.Customer]++
-	if _, ok := q.shares[r.Customer]; !ok {
-		q.shares[r.Customer] = q.clock
+	t := &Ticket{controller: c, queue: q, request: r, enqueued: now, decision: make(chan *refusal.Refusal, 1)}
+	c.customers[r.Customer]++
+	q.requests[r.Customer]++
+	if _, ok := q.customerTimes[r.Customer]; !ok {
+		q.customerTimes[r.Customer] = q.virtualTime
 	}
 	q.waiting = append(q.waiting, t)
-	q.supply = s
+	q.capacity = s
 	t.timer = time.AfterFunc(r.Deadline.Sub(now), t.expire)
-	g.settle(q)
+	c.dispatch(q)
 	return t, nil
 }
 
-func (g *Controller) queue(target string) *queue {
-	q, ok := g.queues[target]
+func (c *Controller) queue(target string) *queue {
+	q, ok := c.queues[target]
 	if !ok {
-		q = &queue{target: target, shares: map[string]float64{}, held: map[string]int{}}
-		g.queues[target] = q
+		q = &queue{target: target, customerTimes: map[string]float64{}, requests: map[string]int{}}
+		c.queues[target] = q
 	}
 	return q
 }
 
-// SetCapacity tells what stands ready for a target, and answers every waiting
-// request that this decides.
-func (g *Controller) SetCapacity(target string, s Capacity) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	q, ok := g.queues[target]
+// SetCapacity sets the capacity of a target, and grants or refuses the waiting
+// requests that this decides.
+func (c *Controller) SetCapacity(target string, s Capacity) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	q, ok := c.queues[target]
 	if !ok {
 		return
 	}
-	q.supply = s
-	g.settle(q)
+	q.capacity = s
+	c.dispatch(q)
 }
 
-// settle grants what can run and refuses what cannot be met in time any more.
-func (g *Controller) settle(q *queue) {
-	now := g.cfg.Now()
-	for q.running < q.supply.Slots && len(q.waiting) > 0 {
-		order := q.inOrder()
-		g.grant(q, order[0].ticket, now)
+// dispatch grants requests while there are free slots, and refuses those that
+// can no longer complete before their deadline.
+func (c *Controller) dispatch(q *queue) {
+	now := c.cfg.Now()
+	for q.running < q.capacity.Slots && len(q.waiting) > 0 {
+		order := q.dispatchOrder()
+		c.grant(q, order[0].ticket, now)
 	}
-	if len(q.waiting) == 0 || !q.supply.Known && q.supply.Slots == 0 {
+	if len(q.waiting) == 0 || !q.capacity.Known && q.capacity.Slots == 0 {
 		return
 	}
-	for place, o := range q.inOrder() {
-		t := o.ticket
-		wait, possible := g.estimate(q, place)
-		if t.forecast == 0 {
-			t.forecast = wait
+	for position, queued := range q.dispatchOrder() {
+		t := queued.ticket
+		wait, possible := c.estimate(q, position)
+		if t.forecastWait == 0 {
+			t.forecastWait = wait
 		}
 		if !possible {
-			g.refuse(q, t, refusal.New(refusal.NoCapacity, "%s", q.supply.Reason).WithRetryAfter(g.retryAfter(q)))
+			c.refuse(q, t, refusal.New(refusal.NoCapacity, "%s", q.capacity.Reason).WithRetryAfter(c.retryAfter(q)))
 			continue
 		}
-		if now.Add(wait + g.service[q.target]).After(t.request.Deadline) {
-			g.refuse(q, t, refusal.New(refusal.TooLate,
-				"an answer is expected in %v, after the deadline", (wait+g.service[q.target]).Round(time.Millisecond)).
+		if now.Add(wait + c.serviceTimes[q.target]).After(t.request.Deadline) {
+			c.refuse(q, t, refusal.New(refusal.TooLate,
+				"an answer is expected in %v, after the deadline", (wait+c.serviceTimes[q.target]).Round(time.Millisecond)).
 				WithRetryAfter(wait))
 		}
 	}
 }
 
-// estimate is the expected wait of the request at a place in the queue.
-func (g *Controller) estimate(q *queue, place int) (wait time.Duration, possible bool) {
-	service := g.service[q.target]
-	if q.supply.Slots > 0 {
-		ahead := place + 1 + q.running - q.supply.Slots
-		return time.Duration(float64(service) * float64(max(ahead, 0)) / float64(q.supply.Slots)), true
+// estimate returns the expected wait of the request at a position in the queue;
+// possible is false if no capacity will become available.
+func (c *Controller) estimate(q *queue, position int) (wait time.Duration, possible bool) {
+	serviceTime := c.serviceTimes[q.target]
+	if q.capacity.Slots > 0 {
+		ahead := position + 1 + q.running - q.capacity.Slots
+		return time.Duration(float64(serviceTime) * float64(max(ahead, 0)) / float64(q.capacity.Slots)), true
 	}
-	if q.supply.ReadyIn < 0 {
+	if q.capacity.ReadyIn < 0 {
 		return 0, false
 	}
-	rounds := place / max(q.supply.ExpectedSlots, 1)
-	return q.supply.ReadyIn + time.Duration(rounds)*service, true
+	rounds := position / max(q.capacity.ExpectedSlots, 1)
+	return q.capacity.ReadyIn + time.Duration(rounds)*serviceTime, true
 }
 
-type place struct {
-	ticket *Ticket
-	tag    float64
+// queuedTicket is a waiting ticket with its start tag, the virtual time at which
+// fair queuing starts it.
+type queuedTicket struct {
+	ticket   *Ticket
+	startTag float64
 }
 
-// inOrder sorts the waiting by fair share between customers; one customer's
-// own go by priority, then deadline. A burst of one customer moves only its own
-// requests back.
-func (q *queue) inOrder() []place {
-	own := map[string][]*Ticket{}
+// dispatchOrder returns the waiting tickets in the order of fair queuing between
+// customers, and by priority, then deadline, among the tickets of one customer.
+// A burst of one customer delays only its own requests.
+func (q *queue) dispatchOrder() []queuedTicket {
+	byCustomer := map[string][]*Ticket{}
 	for _, t := range q.waiting {
-		own[t.request.Customer] = append(own[t.request.Customer], t)
+		byCustomer[t.request.Customer] = append(byCustomer[t.request.Customer], t)
 	}
-	out := make([]place, 0, len(q.waiting))
-	for customer, tickets := range own {
+	out := make([]queuedTicket, 0, len(q.waiting))
+	for customer, tickets := range byCustomer {
 		slices.SortStableFunc(tickets, func(a, b *Ticket) int {
 			return cmp.Or(cmp.Compare(b.request.Priority, a.request.Priority),
 				a.request.Deadline.Compare(b.request.Deadline))
 		})
-		start := max(q.shares[customer], q.clock)
+		start := max(q.customerTimes[customer], q.virtualTime)
 		for i, t := range tickets {
-			out = append(out, place{t, start + float64(i)})
+			out = append(out, queuedTicket{t, start + float64(i)})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b place) int {
-		return cmp.Or(cmp.Compare(a.tag, b.tag), a.ticket.request.Deadline.Compare(b.ticket.request.Deadline),
-			a.ticket.entered.Compare(b.ticket.entered))
+	slices.SortStableFunc(out, func(a, b queuedTicket) int {
+		return cmp.Or(cmp.Compare(a.startTag, b.startTag), a.ticket.request.Deadline.Compare(b.ticket.request.Deadline),
+			a.ticket.enqueued.Compare(b.ticket.enqueued))
 	})
 	return out
 }
 
-func (g *Controller) grant(q *queue, t *Ticket, now time.Time) {
+func (c *Controller) grant(q *queue, t *Ticket, now time.Time) {
 	q.remove(t)
 	customer := t.request.Customer
-	q.clock = max(q.clock, q.shares[customer])
-	q.shares[customer] = q.clock + 1
+	q.virtualTime = max(q.virtualTime, q.customerTimes[customer])
+	q.customerTimes[customer] = q.virtualTime + 1
 	q.running++
 	t.state = ticketRunning
-	t.granted = now
-	if g.cfg.OnGrant != nil {
-		g.cfg.OnGrant(t.forecast, now.Sub(t.entered))
+	t.grantedAt = now
+	if c.cfg.OnGrant != nil {
+		c.cfg.OnGrant(t.forecastWait, now.Sub(t.enqueued))
 	}
-	t.verdict <- nil
+	t.decision <- nil
 }
 
-func (g *Controller) refuse(q *queue, t *Ticket, r *refusal.Refusal) {
+func (c *Controller) refuse(q *queue, t *Ticket, r *refusal.Refusal) {
 	q.remove(t)
-	t.state = ticketOver
+	t.state = ticketFinished
 	if r.RetryAfter() > 0 {
-		g.returning[q.target]++
+		c.expectedRetries[q.target]++
 	}
-	t.verdict <- r
+	t.decision <- r
 }
 
 func (q *queue) remove(t *Ticket) {
@@ -270,25 +284,25 @@
 	q.waiting = slices.Delete(q.waiting, i, i+1)
 }
 
-// expire answers a request whose deadline passed while it waited.
+// expire refuses a request whose deadline passes while it waits.
 func (t *Ticket) expire() {
-	t.gate.mu.Lock()
-	defer t.gate.mu.Unlock()
+	t.controller.mu.Lock()
+	defer t.controller.mu.Unlock()
 	if t.state == ticketWaiting {
-		t.gate.refuse(t.queue, t, refusal.New(refusal.DeadlinePassed, "the deadline passed in the queue").
-			WithRetryAfter(t.gate.retryAfter(t.queue)))
+		t.controller.refuse(t.queue, t, refusal.New(refusal.DeadlinePassed, "the deadline passed in the queue").
+			WithRetryAfter(t.controller.retryAfter(t.queue)))
 	}
 }
 
-// Decision returns a channel that receives nil when the request may run, or the
+// Decision returns a channel that receives nil when the request may run, or a
 // refusal.
-func (t *Ticket) Decision() <-chan *refusal.Refusal { return t.verdict }
+func (t *Ticket) Decision() <-chan *refusal.Refusal { return t.decision }
 
-// Requeue puts a running request back into the queue, at its old place by time:
-// its last attempt proved that it did not run.
+// Requeue returns a running request to the queue in its previous position: its
+// last attempt is proved not to have run.
 func (t *Ticket) Requeue() {
-	t.gate.mu.Lock()
-	defer t.gate.mu.Unlock()
+	t.controller.mu.Lock()
+	defer t.controller.mu.Unlock()
 	if t.state != ticketRunning {
 		return
 	}
@@ -296,21 +310,21 @@
 	q.running--
 	t.state = ticketWaiting
 	q.waiting = append(q.waiting, t)
-	// The deadline's timer may have fired while the request ran.
-	if !t.gate.cfg.Now().Before(t.request.Deadline) {
-		t.gate.refuse(q, t, refusal.New(refusal.DeadlinePassed, "the deadline passed before another attempt"))
+	// The deadline timer may have fired while the request ran.
+	if !t.controller.cfg.Now().Before(t.request.Deadline) {
+		t.controller.refuse(q, t, refusal.New(refusal.DeadlinePassed, "the deadline passed before another attempt"))
 		return
 	}
-	q.shares[t.request.Customer] = max(q.shares[t.request.Customer]-1, 0)
-	t.gate.settle(q)
+	q.customerTimes[t.request.Customer] = max(q.customerTimes[t.request.Customer]-1, 0)
+	t.controller.dispatch(q)
 }
 
-// Release frees the request's place. With served, the time since the grant counts
-// as a service time.
+// Release removes the request. If served is true, the time since the grant is
+// recorded as a service time.
 func (t *Ticket) Release(served bool) {
-	g := t.gate
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	c := t.controller
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	t.timer.Stop()
 	q := t.queue
 	switch t.state {
@@ -319,56 +333,57 @@
 	case ticketRunning:
 		q.running--
 		if served {
-			g.learn(q.target, g.cfg.Now().Sub(t.granted))
+			c.recordServiceTime(q.target, c.cfg.Now().Sub(t.grantedAt))
 		}
-	case ticketOver:
+	case ticketFinished:
 	}
-	t.state = ticketOver
-	g.release(q, t.request.Customer)
-	g.settle(q)
+	t.state = ticketFinished
+	c.removeRequest(q, t.request.Customer)
+	c.dispatch(q)
 }
 
-func (g *Controller) release(q *queue, customer string) {
-	if g.customers[customer]--; g.customers[customer] == 0 {
-		delete(g.customers, customer)
+func (c *Controller) removeRequest(q *queue, customer string) {
+	if c.customers[customer]--; c.customers[customer] == 0 {
+		delete(c.customers, customer)
 	}
-	if q.held[customer]--; q.held[customer] == 0 {
-		delete(q.held, customer)
-		// A customer that comes back soon must not find its share renewed.
-		if q.shares[customer] <= q.clock {
-			delete(q.shares, customer)
+	if q.requests[customer]--; q.requests[customer] == 0 {
+		delete(q.requests, customer)
+		// A customer ahead of the virtual time keeps its own time: otherwise a
+		// customer that sends again soon would regain its fair share.
+		if q.customerTimes[customer] <= q.virtualTime {
+			delete(q.customerTimes, customer)
 		}
 	}
-	if len(q.held) == 0 {
-		delete(g.queues, q.target)
+	if len(q.requests) == 0 {
+		delete(c.queues, q.target)
 	}
 }
 
-func (g *Controller) learn(target string, took time.Duration) {
-	old, ok := g.service[target]
+func (c *Controller) recordServiceTime(target string, serviceTime time.Duration) {
+	old, ok := c.serviceTimes[target]
 	if !ok {
-		g.service[target] = took
+		c.serviceTimes[target] = serviceTime
 		return
 	}
-	g.service[target] = old + time.Duration(smoothing*float64(took-old))
+	c.serviceTimes[target] = old + time.Duration(smoothingFactor*float64(serviceTime-old))
 }
 
-func (g *Controller) retryAfter(q *queue) time.Duration {
+func (c *Controller) retryAfter(q *queue) time.Duration {
 	if q == nil {
 		return minRetryAfter
 	}
-	wait, possible := g.estimate(q, len(q.waiting))
+	wait, possible := c.estimate(q, len(q.waiting))
 	if !possible {
-		return max(minRetryAfter, noCapacityRetry)
+		return max(minRetryAfter, noCapacityRetryAfter)
 	}
 	return max(minRetryAfter, wait)
 }
 
-// noCapacityRetry is when to ask again for a target that nothing can be loaded
-// for at present.
-const noCapacityRetry = 5 * time.Second
+// noCapacityRetryAfter is the retry time of requests for a target that currently
+// cannot be loaded.
+const noCapacityRetryAfter = 5 * time.Second
 
-// Demand is what one target's queue looks like.
+// Demand describes the queue of one target.
 type Demand struct {
 	Target           string
 	Waiting          int
@@ -376,21 +391,22 @@
 	Arrived          int
 	EarliestDeadline time.Time
 	Priority         int32
-	// ExpectedRetries counts requests that were refused and told to come back.
+	// ExpectedRetries counts refused requests that were given a time to retry.
 	ExpectedRetries int
 }
 
-// TakeDemands returns the queues in use and counts arrivals since the last call.
-func (g *Controller) TakeDemands() []Demand {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// TakeDemands returns the queues in use, with the arrivals and expected retries
+// since the last call, and resets these counts.
+func (c *Controller) TakeDemands() []Demand {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var out []Demand
-	for target, q := range g.queues {
+	for target, q := range c.queues {
 		d := Demand{
 			Target: target, Waiting: len(q.waiting), Running: q.running,
-			Arrived: g.arrivals[target], ExpectedRetries: g.returning[target],
+			Arrived: c.arrivals[target], ExpectedRetries: c.expectedRetries[target],
 		}
-		delete(g.arrivals, target)
+		delete(c.arrivals, target)
 		for _, t := range q.waiting {
 			if d.EarliestDeadline.IsZero() || t.request.Deadline.Before(d.EarliestDeadline) {
 				d.EarliestDeadline = t.request.Deadline
@@ -399,28 +415,29 @@
 		}
 		out = append(out, d)
 	}
-	for target, n := range g.arrivals {
-		out = append(out, Demand{Target: target, Arrived: n, ExpectedRetries: g.returning[target]})
-		delete(g.arrivals, target)
+	for target, n := range c.arrivals {
+		out = append(out, Demand{Target: target, Arrived: n, ExpectedRetries: c.expectedRetries[target]})
+		delete(c.arrivals, target)
 	}
-	clear(g.returning)
+	clear(c.expectedRetries)
 	slices.SortFunc(out, func(a, b Demand) int { return cmp.Compare(a.Target, b.Target) })
 	return out
 }
 
-// MeanServiceTime returns the mean service time of a target, or 0.
-func (g *Controller) MeanServiceTime(target string) time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.service[target]
+// MeanServiceTime returns the mean service time of a target, or 0 if none is
+// known.
+func (c *Controller) MeanServiceTime(target string) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.serviceTimes[target]
 }
 
-// Queues returns the queues in use, without counting arrivals.
-func (g *Controller) Queues() []Demand {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	out := make([]Demand, 0, len(g.queues))
-	for target, q := range g.queues {
+// Queues returns the queues in use, without arrivals and expected retries.
+func (c *Controller) Queues() []Demand {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := make([]Demand, 0, len(c.queues))
+	for target, q := range c.queues {
 		out = append(out, Demand{Target: target, Waiting: len(q.waiting), Running: q.running})
 	}
 	slices.SortFunc(out, func(a, b Demand) int { return cmp.Compare(a.Target, b.Target) })
@@ -428,12 +445,12 @@
 }
 
 // InFlight returns the number of requests that wait or run.
-func (g *Controller) InFlight() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (c *Controller) InFlight() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n := 0
-	for _, c := range g.customers {
-		n += c
+	for _, count := range c.customers {
+		n += count
 	}
 	return n
 }
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -12,61 +12,62 @@
 	"fennelyard/internal/refusal"
 )
 
-func ask(customer string, in time.Duration) admission.Request {
-	return admission.Request{Customer: customer, Target: "m", Deadline: time.Now().Add(in)}
+func newRequest(customer string, timeout time.Duration) admission.Request {
+	return admission.Request{Customer: customer, Target: "m", Deadline: time.Now().Add(timeout)}
 }
 
-func enter(t *testing.T, g *admission.Controller, r admission.Request, s admission.Capacity) *admission.Ticket {
+func admit(t *testing.T, c *admission.Controller, r admission.Request, s admission.Capacity) *admission.Ticket {
 	t.Helper()
-	ticket, refused := g.Admit(r, s)
+	ticket, refused := c.Admit(r, s)
 	require.Nil(t, refused)
 	return ticket
 }
 
 var (
-	nothing = admission.Capacity{}
-	oneSlot = admission.Capacity{Slots: 1, Known: true}
+	unknownCapacity = admission.Capacity{}
+	oneSlot         = admission.Capacity{Slots: 1, Known: true}
 )
 
-// TestFinalAnswersComeAtOnce: as soon as a forecast says that a request cannot
-// be met, it is refused, with the time to come back; one that can be met waits.
-func TestFinalAnswersComeAtOnce(t *testing.T) {
+// A request must be refused, with a retry time, as soon as a forecast shows that it
+// cannot complete before its deadline, not when the deadline passes. A request that
+// can still complete keeps waiting.
+func TestRefusedOnForecast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := admission.NewController(admission.Config{QueueLimit: 10})
-		short := enter(t, g, ask("a", time.Second), nothing)
-		long := enter(t, g, ask("a", time.Minute), nothing)
-		began := time.Now()
-		g.SetCapacity("m", admission.Capacity{Known: true, ReadyIn: 10 * time.Second, ExpectedSlots: 4})
+		c := admission.NewController(admission.Config{QueueLimit: 10})
+		short := admit(t, c, newRequest("a", time.Second), unknownCapacity)
+		long := admit(t, c, newRequest("a", time.Minute), unknownCapacity)
+		start := time.Now()
+		c.SetCapacity("m", admission.Capacity{Known: true, ReadyIn: 10 * time.Second, ExpectedSlots: 4})
 		r := <-short.Decision()
 		require.NotNil(t, r)
 		assert.Equal(t, refusal.TooLate, r.Code())
 		assert.Equal(t, refusal.NotRun, r.Outcome())
 		assert.Equal(t, 10*time.Second, r.RetryAfter())
-		assert.Equal(t, began, time.Now())
-		g.SetCapacity("m", oneSlot)
+		assert.Equal(t, start, time.Now())
+		c.SetCapacity("m", oneSlot)
 		assert.Nil(t, <-long.Decision())
 		short.Release(false)
 		long.Release(true)
-		assert.Zero(t, g.InFlight())
+		assert.Zero(t, c.InFlight())
 	})
 }
 
-func TestDeadlineInTheQueue(t *testing.T) {
+func TestDeadlinePassesInQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := admission.NewController(admission.Config{QueueLimit: 10})
-		ticket := enter(t, g, ask("a", 2*time.Second), nothing)
-		began := time.Now()
+		c := admission.NewController(admission.Config{QueueLimit: 10})
+		ticket := admit(t, c, newRequest("a", 2*time.Second), unknownCapacity)
+		start := time.Now()
 		r := <-ticket.Decision()
 		assert.Equal(t, refusal.DeadlinePassed, r.Code())
-		assert.Equal(t, 2*time.Second, time.Since(began))
+		assert.Equal(t, 2*time.Second, time.Since(start))
 		ticket.Release(false)
 	})
 }
 
-func TestNothingWillComeIsToldAtOnce(t *testing.T) {
+func TestRefusedWithoutExpectedCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := admission.NewController(admission.Config{QueueLimit: 10})
-		ticket := enter(t, g, ask("a", time.Minute), admission.Capacity{Known: true, ReadyIn: -1, Reason: "no room"})
+		c := admission.NewController(admission.Config{QueueLimit: 10})
+		ticket := admit(t, c, newRequest("a", time.Minute), admission.Capacity{Known: true, ReadyIn: -1, Reason: "no room"})
 		r := <-ticket.Decision()
 		assert.Equal(t, refusal.NoCapacity, r.Code())
 		assert.Positive(t, r.RetryAfter())
@@ -74,70 +75,71 @@
 	})
 }
 
-// TestOneCustomersBurstDoesNotStarveAnother: customer a has twenty requests in
-// the queue when b's first one comes. With one slot, b is next but one.
-func TestOneCustomersBurstDoesNotStarveAnother(t *testing.T) {
+// A burst of one customer must not starve another: with one slot and twenty queued
+// requests of customer a, the first request of customer b is granted after at most
+// one of them.
+func TestBurstDoesNotStarveOtherCustomer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := admission.NewController(admission.Config{QueueLimit: 100})
-		running := enter(t, g, ask("a", time.Hour), oneSlot)
+		c := admission.NewController(admission.Config{QueueLimit: 100})
+		running := admit(t, c, newRequest("a", time.Hour), oneSlot)
 		require.Nil(t, <-running.Decision())
 		var burst []*admission.Ticket
 		for range 20 {
-			burst = append(burst, enter(t, g, ask("a", time.Hour), oneSlot))
+			burst = append(burst, admit(t, c, newRequest("a", time.Hour), oneSlot))
 		}
-		other := enter(t, g, ask("b", time.Hour), oneSlot)
-		before := 0
+		other := admit(t, c, newRequest("b", time.Hour), oneSlot)
+		grantedBefore := 0
 		running.Release(true)
 		for served := false; !served; {
 			select {
 			case <-other.Decision():
 				served = true
 			default:
-				for _, x := range burst {
+				for _, queued := range burst {
 					select {
-					case <-x.Decision():
-						before++
-						x.Release(true)
+					case <-queued.Decision():
+						grantedBefore++
+						queued.Release(true)
 					default:
 					}
 				}
 			}
 		}
-		assert.LessOrEqual(t, before, 1)
+		assert.LessOrEqual(t, grantedBefore, 1)
 	})
 }
 
 func TestLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := admission.NewController(admission.Config{QueueLimit: 2})
-		r := ask("a", time.Minute)
+		c := admission.NewController(admission.Config{QueueLimit: 2})
+		r := newRequest("a", time.Minute)
 		r.CustomerLimit = 1
-		first := enter(t, g, r, nothing)
-		_, refused := g.Admit(r, nothing)
+		first := admit(t, c, r, unknownCapacity)
+		_, refused := c.Admit(r, unknownCapacity)
 		assert.Equal(t, refusal.CustomerLimit, refused.Code())
-		second := enter(t, g, ask("b", time.Minute), nothing)
-		_, refused = g.Admit(ask("c", time.Minute), nothing)
+		second := admit(t, c, newRequest("b", time.Minute), unknownCapacity)
+		_, refused = c.Admit(newRequest("c", time.Minute), unknownCapacity)
 		assert.Equal(t, refusal.QueueFull, refused.Code())
-		_, refused = g.Admit(ask("c", 0), nothing)
+		_, refused = c.Admit(newRequest("c", 0), unknownCapacity)
 		assert.Equal(t, refusal.DeadlinePassed, refused.Code())
 		first.Release(false)
 		second.Release(false)
 	})
 }
 
-// TestAnotherAttemptKeepsItsPlace: a request whose attempt proved that it did
-// not run goes back into the queue and is granted before what came later.
-func TestAnotherAttemptKeepsItsPlace(t *testing.T) {
+// A request whose attempt is proved not to have run returns to the queue and is
+// granted before requests that arrived later.
+func TestRequeueKeepsPosition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := admission.NewController(admission.Config{QueueLimit: 10})
-		first := enter(t, g, ask("a", time.Minute), oneSlot)
+		c := admission.NewController(admission.Config{QueueLimit: 10})
+		first := admit(t, c, newRequest("a", time.Minute), oneSlot)
 		require.Nil(t, <-first.Decision())
-		second := enter(t, g, ask("a", time.Hour), oneSlot)
+		second := admit(t, c, newRequest("a", time.Hour), oneSlot)
 		first.Requeue()
 		require.Nil(t, <-first.Decision())
 		select {
 		case <-second.Decision():
-			assert.Fail(t, "the later one went first")
+			assert.Fail(t, "the later request was granted first")
 		default:
 		}
 		first.Release(true)
@@ -146,20 +148,20 @@
 	})
 }
 
-// TestOverload offers four times what one slot can serve. Everyone gets a final
-// answer, nobody is served after the deadline, and most of the slot's time goes
-// into answers that were still wanted.
+// At four times the load that one slot can serve, every request gets a response or a
+// refusal, none is served after its deadline, and most of the slot's time is spent
+// on requests whose callers still wait.
 func TestOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const service = 100 * time.Millisecond
-		g := admission.NewController(admission.Config{QueueLimit: 50})
-		served, late, refusedAtOnce := 0, 0, 0
+		const serviceTime = 100 * time.Millisecond
+		c := admission.NewController(admission.Config{QueueLimit: 50})
+		served, late, refusals := 0, 0, 0
 		const offered = 400
 		results := make(chan string, offered)
 		for range offered {
 			go func() {
 				deadline := time.Now().Add(time.Second)
-				ticket, refused := g.Admit(admission.Request{Customer: "a", CustomerLimit: 1000, Target: "m", Deadline: deadline}, oneSlot)
+				ticket, refused := c.Admit(admission.Request{Customer: "a", CustomerLimit: 1000, Target: "m", Deadline: deadline}, oneSlot)
 				if refused != nil {
 					results <- "refused"
 					return
@@ -169,7 +171,7 @@
 					results <- "refused"
 					return
 				}
-				time.Sleep(service)
+				time.Sleep(serviceTime)
 				ticket.Release(true)
 				if time.Now().After(deadline) {
 					results <- "late"
@@ -177,15 +179,15 @@
 				}
 				results <- "served"
 			}()
-			time.Sleep(service / 4)
+			time.Sleep(serviceTime / 4)
 		}
 		for range offered {
-			count(<-results, &served, &late, &refusedAtOnce)
+			count(<-results, &served, &late, &refusals)
 		}
-		t.Logf("%d offered: %d served, %d late, %d refused", offered, served, late, refusedAtOnce)
+		t.Logf("%d offered: %d served, %d late, %d refused", offered, served, late, refusals)
 		assert.Zero(t, late)
 		assert.Greater(t, served, offered/5)
-		assert.Zero(t, g.InFlight())
+		assert.Zero(t, c.InFlight())
 	})
 }
 
