--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -8,37 +8,39 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEvent bounds one event of a stream in bytes; the largest seen are some
-// hundred.
-const maxEvent = 1 << 20
+// maxEventBytes bounds the size of one event; typical events have at most some
+// hundred bytes.
+const maxEventBytes = 1 << 20
 
-// ErrPartialEvent says that a stream ended inside an event.
+// ErrPartialEvent reports a stream that ended inside an event.
 var ErrPartialEvent = errors.New("the stream ended inside an event")
 
-// EventReader splits a stream into events, with the blank line that ends each.
+// EventReader splits a stream into server-sent events, each with the blank line
+// that ends it.
 type EventReader struct {
 	in  io.Reader
 	buf []byte
-	// from and to bound what is read and not returned yet in buf.
-	from, to int
-	err      error
+	// buf[start:end] holds the bytes read but not yet returned.
+	start, end int
+	err        error
 }
 
-// NewEventReader returns the events of a body.
+// NewEventReader returns an EventReader that reads from in.
 func NewEventReader(in io.Reader) *EventReader { return &EventReader{in: in, buf: make([]byte, 4<<10)} }
 
-// Next returns all complete events that are there, at least one, waiting for it
-// if none is. The bytes are valid until the next call. At a regular end it
-// returns io.EOF, inside an event ErrPartialEvent.
+// Next returns all complete events that are available, blocking until there is
+// at least one. The bytes are valid until the next call. It returns io.EOF at the
+// regular end of the stream, and ErrPartialEvent if the stream ends inside an
+// event.
 func (e *EventReader) Next() ([]byte, error) {
 	for {
-		if i := lastEnd(e.buf[e.from:e.to]); i > 0 {
-			out := e.buf[e.from : e.from+i]
-			e.from += i
+		if i := completeEventsLen(e.buf[e.start:e.end]); i > 0 {
+			out := e.buf[e.start : e.start+i]
+			e.start += i
 			return out, nil
 		}
 		if e.err != nil {
-			if errors.Is(e.err, io.EOF) && e.from < e.to {
+			if errors.Is(e.err, io.EOF) && e.start < e.end {
 				return nil, ErrPartialEvent
 			}
 			return nil, e.err
@@ -50,37 +52,38 @@
 }
 
 func (e *EventReader) fill() error {
-	if e.from > 0 {
-		copy(e.buf, e.buf[e.from:e.to])
-		e.to -= e.from
-		e.from = 0
+	if e.start > 0 {
+		copy(e.buf, e.buf[e.start:e.end])
+		e.end -= e.start
+		e.start = 0
 	}
-	if e.to == len(e.buf) {
-		if len(e.buf) >= maxEvent {
-			return errors.Newf("an event of over %d bytes: %w", maxEvent, ErrInterrupted)
+	if e.end == len(e.buf) {
+		if len(e.buf) >= maxEventBytes {
+			return errors.Newf("an event of over %d bytes: %w", maxEventBytes, ErrInterrupted)
 		}
 		e.buf = append(e.buf, make([]byte, len(e.buf))...)
 	}
-	n, err := e.in.Read(e.buf[e.to:])
-	e.to += n
+	n, err := e.in.Read(e.buf[e.end:])
+	e.end += n
 	e.err = err
 	return nil
 }
 
-// lastEnd returns the length of the part that ends with the last blank line.
-func lastEnd(b []byte) int {
-	end := 0
+// completeEventsLen returns the length of the complete events at the head of b:
+// all up to and including the last blank line.
+func completeEventsLen(b []byte) int {
+	n := 0
 	if i := bytes.LastIndex(b, []byte("\n\n")); i >= 0 {
-		end = i + 2
+		n = i + 2
 	}
 	if i := bytes.LastIndex(b, []byte("\r\n\r\n")); i >= 0 {
-		end = max(end, i+4)
+		n = max(n, i+4)
 	}
-	return end
+	return n
 }
 
-// EventIDs returns the first and the last id among complete events; ok is false
-// where an event has no id that is a number.
+// EventIDs returns the first and the last id of complete events; ok is false if
+// there is no id, or one that is not a number.
 func EventIDs(events []byte) (first, last int64, ok bool) {
 	first = -1
 	for _, line := range bytes.Split(events, []byte("\n")) {
--- a/internal/relay/events_test.go
+++ b/internal/relay/events_test.go
@@ -12,7 +12,7 @@
 	"fennelyard/internal/relay"
 )
 
-func collect(in io.Reader) (string, error) {
+func readAll(in io.Reader) (string, error) {
 	events := relay.NewEventReader(in)
 	var out bytes.Buffer
 	for {
@@ -24,20 +24,20 @@
 	}
 }
 
-func TestEventsPassCompleteOnesOnly(t *testing.T) {
+func TestOnlyCompleteEvents(t *testing.T) {
 	for name, x := range map[string]struct {
 		in, want string
 		err      error
 	}{
-		"whole":        {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", io.EOF},
-		"cut":          {"id: 1\ndata: a\n\nid: 2\nda", "id: 1\ndata: a\n\n", relay.ErrPartialEvent},
-		"carriage":     {"id: 1\r\n\r\n", "id: 1\r\n\r\n", io.EOF},
-		"nothing":      {"", "", io.EOF},
-		"longer event": {"data: " + strings.Repeat("x", 9000) + "\n\n", "data: " + strings.Repeat("x", 9000) + "\n\n", io.EOF},
+		"complete":        {"id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", io.EOF},
+		"truncated":       {"id: 1\ndata: a\n\nid: 2\nda", "id: 1\ndata: a\n\n", relay.ErrPartialEvent},
+		"carriage return": {"id: 1\r\n\r\n", "id: 1\r\n\r\n", io.EOF},
+		"empty":           {"", "", io.EOF},
+		"longer event":    {"data: " + strings.Repeat("x", 9000) + "\n\n", "data: " + strings.Repeat("x", 9000) + "\n\n", io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, in := range []io.Reader{strings.NewReader(x.in), iotest.OneByteReader(strings.NewReader(x.in))} {
-				got, err := collect(in)
+				got, err := readAll(in)
 				require.ErrorIs(t, err, x.err)
 				require.Equal(t, x.want, got)
 			}
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestIDs(t *testing.T) {
+func TestEventIDs(t *testing.T) {
 	first, last, ok := relay.EventIDs([]byte("id: 3\ndata: x\n\nid:4\n\n"))
 	require.True(t, ok)
 	require.Equal(t, []int64{3, 4}, []int64{first, last})
@@ -55,12 +55,13 @@
 	require.False(t, ok)
 }
 
-// Whatever bytes come, what is passed on is the input up to the end of an event.
+// For any input, the bytes returned are a prefix of the input that ends with a
+// complete event.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\n\nid: 2\n\n"))
 	f.Add([]byte("\n\n\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		got, _ := collect(iotest.HalfReader(bytes.NewReader(in)))
+		got, _ := readAll(iotest.HalfReader(bytes.NewReader(in)))
 		require.True(t, bytes.HasPrefix(in, []byte(got)))
 		require.True(t, got == "" || strings.HasSuffix(got, "\n\n") || strings.HasSuffix(got, "\r\n\r\n"))
 	})
--- a/internal/relay/presence.go
+++ b/internal/relay/presence.go
@@ -9,22 +9,22 @@
 
 //go:generate go tool stringer -type=Presence -linecomment
 
-// Presence is what a backend server's address answers to a new connection.
+// Presence is the result of a connection attempt to a backend server's address.
 type Presence int
 
-// The presences.
+// The results of Sender.Probe.
 const (
-	// PresenceSilent says that nothing answers: the path, the host or its power may be
-	// lost, and the server may live.
+	// PresenceSilent means that the attempt timed out or failed otherwise: the network
+	// path, the host or its power may be lost, and the server may still run.
 	PresenceSilent Presence = iota // silent
-	// PresenceRefused says that the host is there and nobody listens: the server's
-	// process has ended.
+	// PresenceRefused means that the host is up and nothing listens on the port: the
+	// server's process has ended.
 	PresenceRefused // refused
-	// PresenceListening says that a process listens there.
+	// PresenceListening means that a process accepts connections at the address.
 	PresenceListening // listening
 )
 
-// Probe tries an address without sending anything.
+// Probe connects to an address, sends nothing and closes the connection.
 func (s *Sender) Probe(ctx context.Context, address string) Presence {
 	conn, err := s.dial(ctx, address)
 	switch {
--- a/internal/relay/presence_test.go
+++ b/internal/relay/presence_test.go
@@ -10,8 +10,9 @@
 	"fennelyard/internal/relay"
 )
 
-// A server that has ended is told from one that lives and from one that can't be reached:
-// only the first may have ended by what it ran.
+// A server whose process has ended must be distinguished from one that still runs and
+// from one that can't be reached: only an ended process may have been ended by a
+// request that it ran.
 func TestPresence(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -20,9 +21,9 @@
 	require.NoError(t, l.Close())
 	require.Equal(t, relay.PresenceRefused, sender.Probe(context.Background(), l.Addr().String()))
 
-	hangs := relay.NewSender(relay.Config{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
+	unreachable := relay.NewSender(relay.Config{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}})
-	require.Equal(t, relay.PresenceSilent, hangs.Probe(context.Background(), l.Addr().String()))
+	require.Equal(t, relay.PresenceSilent, unreachable.Probe(context.Background(), l.Addr().String()))
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -14,9 +14,10 @@
 	"fennelyard/internal/relay"
 )
 
-// peer takes one connection and tells how it ended, after it has answered with
-// so many of the ten bytes that it promises.
-func peer(t *testing.T, bytes int) (address string, end <-chan error) {
+// startServer starts a server that accepts one connection, announces a body of ten
+// bytes and sends the first sent of them. end receives the error with which the
+// connection ended, nil for a regular close.
+func startServer(t *testing.T, sent int) (address string, end <-chan error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -30,7 +31,7 @@
 		}
 		defer func() { _ = conn.Close() }()
 		_, _ = io.ReadFull(conn, make([]byte, 1))
-		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n"+"0123456789"[:bytes])
+		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n"+"0123456789"[:sent])
 		_, err = io.Copy(io.Discard, conn)
 		ended <- err
 	}()
@@ -43,32 +44,32 @@
 	})
 }
 
-// A caller gives up, and the connection to its server is closed. Behind a
-// partition the kernel would keep what it has not delivered and send it on when
-// the partition heals: a request would run whose caller left long ago. Only a
-// reset drops these bytes, so that is what the server must see, and after an
-// answer that is whole a regular end.
+// When a caller gives up, the connection to its server must be reset. After a plain
+// close the kernel would keep undelivered data during a network partition and send it
+// when the partition heals: the request would be executed long after its caller left.
+// Only a reset discards this data. After a complete response the connection is closed
+// regularly.
 func TestAbandonedConnectionIsReset(t *testing.T) {
 	for name, x := range map[string]struct {
-		bytes int
-		want  error
-	}{"in the middle of the answer": {4, syscall.ECONNRESET}, "after the whole answer": {10, nil}} {
+		sent int
+		want error
+	}{"in the middle of the response": {4, syscall.ECONNRESET}, "after the complete response": {10, nil}} {
 		t.Run(name, func(t *testing.T) {
-			address, end := peer(t, x.bytes)
-			answer, err := send(context.Background(), address)
+			address, end := startServer(t, x.sent)
+			response, err := send(context.Background(), address)
 			require.NoError(t, err)
-			got, err := io.ReadAll(io.LimitReader(answer.Body, int64(x.bytes)))
+			got, err := io.ReadAll(io.LimitReader(response.Body, int64(x.sent)))
 			require.NoError(t, err)
-			require.Equal(t, "0123456789"[:x.bytes], string(got))
+			require.Equal(t, "0123456789"[:x.sent], string(got))
 			if x.want == nil {
-				_, err = io.ReadAll(answer.Body)
+				_, err = io.ReadAll(response.Body)
 				require.NoError(t, err)
 			}
-			answer.Close()
+			response.Close()
 			require.ErrorIs(t, <-end, x.want)
 		})
 	}
-	t.Run("before any answer", func(t *testing.T) {
+	t.Run("before any response", func(t *testing.T) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer func() { _ = l.Close() }()
