--- a/internal/entry/backends.go
+++ b/internal/entry/backends.go
@@ -15,7 +15,7 @@
 
 const (
 	announcePath     = "/v1/announcements"
-	announceEvery    = time.Second
+	announceInterval = time.Second
 	maxAnnounceBytes = 4 << 20
 )
 
@@ -34,27 +34,27 @@
 	if err != nil {
 		return writeRefusal(c, "", refusal.New(refusal.BadRequest, "%v", err))
 	}
-	if e.heard.Record(a, time.Now()) && a.GetServer().GetLeaving() {
-		e.refresh(e.gate.Queues())
+	if e.backends.Record(a, time.Now()) && a.GetServer().GetLeaving() {
+		e.refreshCapacity(e.admission.Queues())
 	}
 	return operator.WriteProto(c, http.StatusOK, &schema.AnnounceReply{
-		Addresses: e.backendAddresses(), EveryMs: uint32(announceEvery.Milliseconds()),
+		Addresses: e.backendAddresses(), EveryMs: uint32(announceInterval.Milliseconds()),
 	})
 }
 
-// backendAddresses lists where announcements go: this entry first while it is
-// not stopping, then the other live ones.
+// backendAddresses returns the addresses that servers announce themselves to:
+// this entry first unless it is stopping, then the other available entries.
 func (e *Entry) backendAddresses() []string {
-	alive := map[string]bool{}
+	available := map[string]bool{}
 	for _, f := range e.cfg.Membership.Facts() {
-		alive[f.GetHost()] = f.GetState() == schema.HostState_HOST_STATE_ALIVE && !f.GetStopping()
+		available[f.GetHost()] = f.GetState() == schema.HostState_HOST_STATE_ALIVE && !f.GetStopping()
 	}
 	var out []string
-	if alive[e.cfg.Self.GetName()] {
+	if available[e.cfg.Self.GetName()] {
 		out = append(out, e.cfg.Self.GetBackendAddress())
 	}
 	for _, h := range e.cfg.Settings.GetHosts() {
-		if alive[h.GetName()] && h.GetName() != e.cfg.Self.GetName() {
+		if available[h.GetName()] && h.GetName() != e.cfg.Self.GetName() {
 			out = append(out, h.GetBackendAddress())
 		}
 	}
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -23,15 +23,16 @@
 	"fennelyard/internal/schema"
 )
 
-// The headers between a caller and an entry, beside those of package routing.
+// The headers between a caller and an entry, in addition to those of package
+// routing.
 const (
-	// HeaderIdempotencyKey names a non-idempotent request across its resends.
+	// HeaderIdempotencyKey identifies a non-idempotent request across retries.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderAttempt is 1 on the first arrival of a key.
+	// HeaderAttempt is 1 the first time that the caller sends an idempotency key.
 	HeaderAttempt = "Fennelyard-Attempt"
-	// HeaderRepeatable says no on a completion that must not run twice.
+	// HeaderRepeatable is "no" on a completion request that must not run twice.
 	HeaderRepeatable = "Fennelyard-Repeatable"
-	// HeaderReplayed is set on a kept answer of an earlier arrival.
+	// HeaderReplayed is set on the recorded response of an earlier attempt.
 	HeaderReplayed = "Fennelyard-Replayed"
 
 	kindModel   = "model"
@@ -44,15 +45,15 @@
 	r := newRoutes()
 	r.Use(e.trace)
 	r.GET("/v1/directory", e.directory)
-	r.POST("/v1/chat/completions", e.model)
-	r.POST("/v1/completions", e.model)
-	r.GET("/v1/models", e.models)
-	r.Any(servicesPrefix+":service/*", e.service)
-	r.Any(servicesPrefix+":service", e.service)
+	r.POST("/v1/chat/completions", e.serveCompletion)
+	r.POST("/v1/completions", e.serveCompletion)
+	r.GET("/v1/models", e.listModels)
+	r.Any(servicesPrefix+":service/*", e.serveService)
+	r.Any(servicesPrefix+":service", e.serveService)
 	return r
 }
 
-// trace continues a caller's trace with a span for this hop.
+// trace continues the caller's trace with a server span.
 func (e *Entry) trace(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		q := c.Request()
@@ -65,7 +66,7 @@
 	}
 }
 
-// propagator keeps the W3C trace context through every hop.
+// propagator propagates the W3C trace context.
 func propagator() propagation.TextMapPropagator { return propagation.TraceContext{} }
 
 func (e *Entry) directory(c echo.Context) error {
@@ -96,33 +97,35 @@
 	return out
 }
 
-// incoming is a caller's request after its first checks.
-type incoming struct {
+// incomingRequest is a caller's request.
+type incomingRequest struct {
 	id       string
 	customer string
 	kind     string
 	method   string
-	// path is the path and query at the backend server.
+	// path is the path and query sent to the backend server.
 	path     string
 	target   target
 	body     []byte
-	began    time.Time
+	received time.Time
 	deadline time.Time
-	// key is set on requests that must not run twice; first is true when the
-	// caller says that the key arrives for the first time.
-	key   string
-	first bool
-	// guarded is the request as the guard knows it; nil: it was not needed yet.
-	guarded *quarantine.KeyedRequest
+	// key is the idempotency key of a request that must not run twice.
+	// firstAttempt is set if the caller declares that it sends the key for the
+	// first time.
+	key          string
+	firstAttempt bool
+	// keyed is created by keyedRequest when first needed.
+	keyed *quarantine.KeyedRequest
 }
 
-// check refuses before anything is spent on a request.
-func (e *Entry) check(c echo.Context, kind string) (*incoming, *refusal.Refusal) {
+// checkRequest reads a request, and refuses one that is invalid or arrives before
+// the entry is ready. The request is returned also with a refusal.
+func (e *Entry) checkRequest(c echo.Context, kind string) (*incomingRequest, *refusal.Refusal) {
 	q := c.Request()
-	in := &incoming{
-		id: strconv.FormatUint(e.cfg.RandomID(), 36), kind: kind, method: q.Method, began: time.Now(), path: q.URL.RequestURI(),
+	in := &incomingRequest{
+		id: strconv.FormatUint(e.cfg.RandomID(), 36), kind: kind, method: q.Method, received: time.Now(), path: q.URL.RequestURI(),
 		customer: q.Header.Get(routing.HeaderCustomer), key: q.Header.Get(HeaderIdempotencyKey),
-		first: q.Header.Get(HeaderAttempt) == "1",
+		firstAttempt: q.Header.Get(HeaderAttempt) == "1",
 	}
 	if e.Readiness() == ReadinessNone {
 		return in, refusal.New(refusal.NotReady, "this entry does not know yet that its configuration is current").
@@ -139,14 +142,14 @@
 	return in, refused
 }
 
-// readBody reads a bounded body within bodyTimeout. The time limit ends with
-// the body: left in place it would cut off a long answer.
+// readBody reads a body of bounded size within bodyTimeout. The read deadline is
+// cleared afterwards: otherwise it would interrupt a long response.
 func (e *Entry) readBody(c echo.Context) ([]byte, *refusal.Refusal) {
 	limit := int64(e.cfg.Settings.GetEntry().GetMaxBodyBytes())
-	slow := http.NewResponseController(c.Response().Writer)
-	_ = slow.SetReadDeadline(time.Now().Add(bodyTimeout))
+	controller := http.NewResponseController(c.Response().Writer)
+	_ = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, limit))
-	_ = slow.SetReadDeadline(time.Time{})
+	_ = controller.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -157,24 +160,24 @@
 	return body, nil
 }
 
-// aim finds the target and the deadline of a request.
-func (e *Entry) aim(c echo.Context, in *incoming, name string) *refusal.Refusal {
-	in.target = e.lookUp(in.customer, name)
+// resolveTarget sets the target and the deadline of a request.
+func (e *Entry) resolveTarget(c echo.Context, in *incomingRequest, name string) *refusal.Refusal {
+	in.target = e.lookUpTarget(in.customer, name)
 	if in.target.customer == nil {
 		return refusal.New(refusal.UnknownCustomer, "customer %q is not configured", in.customer)
 	}
 	if !in.target.known || (in.kind == kindService) != (in.target.service != nil) {
 		return refusal.New(refusal.UnknownTarget, "customer %q reaches no %s %q", in.customer, in.kind, name)
 	}
-	left, refused := e.timeLeft(c.Request().Header.Get(routing.HeaderDeadline), in.target.customer)
+	timeout, refused := e.requestTimeout(c.Request().Header.Get(routing.HeaderDeadline), in.target.customer)
 	if refused != nil {
 		return refused
 	}
-	in.deadline = in.began.Add(left)
+	in.deadline = in.received.Add(timeout)
 	return nil
 }
 
-func (e *Entry) timeLeft(header string, customer *schema.Customer) (time.Duration, *refusal.Refusal) {
+func (e *Entry) requestTimeout(header string, customer *schema.Customer) (time.Duration, *refusal.Refusal) {
 	if header == "" {
 		if ms := customer.GetDefaultDeadlineMs(); ms > 0 {
 			return time.Duration(ms) * time.Millisecond, nil
@@ -191,25 +194,27 @@
 	return min(time.Duration(ms)*time.Millisecond, maxCallerDeadline), nil
 }
 
-func (in *incoming) admission() admission.Request {
+func (in *incomingRequest) admissionRequest() admission.Request {
 	return admission.Request{
 		Customer: in.customer, CustomerLimit: int(in.target.customer.GetMaxConcurrent()),
 		Target: in.target.name, Priority: in.target.customer.GetPriority(), Deadline: in.deadline,
 	}
 }
 
-// enter queues a request; the leader is told at once when nothing can serve it.
-func (e *Entry) enter(in *incoming) (*admission.Ticket, *refusal.Refusal) {
-	s := e.supply(in.target.name, len(in.target.candidates), in.target.service != nil)
-	ticket, refused := e.gate.Admit(in.admission(), s)
+// enqueue queues a request. If the target has no replica, a report to the leader
+// is sent immediately.
+func (e *Entry) enqueue(in *incomingRequest) (*admission.Ticket, *refusal.Refusal) {
+	s := e.capacity(in.target.name, len(in.target.candidates), in.target.service != nil)
+	ticket, refused := e.admission.Admit(in.admissionRequest(), s)
 	if s.Slots == 0 && in.target.service == nil {
-		e.wake()
+		e.requestReport()
 	}
 	return ticket, refused
 }
 
-// await waits for a ticket's turn, with a span for the queue.
-func (e *Entry) await(ctx context.Context, t *admission.Ticket) *refusal.Refusal {
+// awaitAdmission waits for a ticket's admission decision, and records the wait in
+// a span.
+func (e *Entry) awaitAdmission(ctx context.Context, t *admission.Ticket) *refusal.Refusal {
 	_, span := e.cfg.Tracer.Start(ctx, "queue")
 	defer span.End()
 	select {
@@ -220,7 +225,7 @@
 	}
 }
 
-func (e *Entry) models(c echo.Context) error {
+func (e *Entry) listModels(c echo.Context) error {
 	customer := c.Request().Header.Get(routing.HeaderCustomer)
 	type model struct {
 		ID     string `json:"id"`
@@ -230,14 +235,14 @@
 		Object string  `json:"object"`
 		Data   []model `json:"data"`
 	}{Object: "list", Data: []model{}}
-	for _, name := range e.reachable(customer) {
+	for _, name := range e.reachableModels(customer) {
 		list.Data = append(list.Data, model{ID: name, Object: "model"})
 	}
 	return c.JSON(http.StatusOK, list)
 }
 
-// refuse writes the final answer to a request that is not served.
-func (e *Entry) refuse(c echo.Context, in *incoming, r *refusal.Refusal) error {
+// refuse counts a refusal and writes it as the response to a request.
+func (e *Entry) refuse(c echo.Context, in *incomingRequest, r *refusal.Refusal) error {
 	e.cfg.Metrics.Refusal(r.Code().String(), r.Outcome().String())
 	e.cfg.Metrics.Request(in.kind, r.Status())
 	span := trace.SpanFromContext(c.Request().Context())
--- a/internal/entry/capacity.go
+++ b/internal/entry/capacity.go
@@ -10,58 +10,61 @@
 	"fennelyard/internal/schema"
 )
 
-const forecastLife = 3 * time.Second
+const forecastTTL = 3 * time.Second
 
 type forecast struct {
-	ready  time.Time
-	never  bool
-	reason string
-	at     time.Time
+	readyAt    time.Time
+	never      bool
+	reason     string
+	receivedAt time.Time
 }
 
-// forecasts holds the leader's word on targets that wait for a replica.
+// forecasts holds the leader's forecasts of targets that wait for a replica.
 type forecasts struct {
-	mu sync.Mutex
-	by map[string]forecast
+	mu       sync.Mutex
+	byTarget map[string]forecast
 }
 
-func newForecasts() *forecasts { return &forecasts{by: map[string]forecast{}} }
+func newForecasts() *forecasts { return &forecasts{byTarget: map[string]forecast{}} }
 
 func (f *forecasts) set(now time.Time, all []*schema.Forecast) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for t, old := range f.by {
-		if now.Sub(old.at) > forecastLife {
-			delete(f.by, t)
+	for t, old := range f.byTarget {
+		if now.Sub(old.receivedAt) > forecastTTL {
+			delete(f.byTarget, t)
 		}
 	}
 	for _, x := range all {
-		f.by[x.GetTarget()] = forecast{
-			ready: now.Add(time.Duration(x.GetReadyInMs()) * time.Millisecond),
-			never: x.GetReadyInMs() < 0, reason: x.GetReason(), at: now,
+		f.byTarget[x.GetTarget()] = forecast{
+			readyAt: now.Add(time.Duration(x.GetReadyInMs()) * time.Millisecond),
+			never:   x.GetReadyInMs() < 0, reason: x.GetReason(), receivedAt: now,
 		}
 	}
 }
 
-func (f *forecasts) of(now time.Time, target string) (forecast, bool) {
+func (f *forecasts) get(now time.Time, target string) (forecast, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	x, ok := f.by[target]
-	return x, ok && now.Sub(x.at) <= forecastLife
+	x, ok := f.byTarget[target]
+	return x, ok && now.Sub(x.receivedAt) <= forecastTTL
 }
 
-// target is what a request asks for, with what can serve it now.
+// target is the model or service of a request, with the servers that can serve it
+// now.
 type target struct {
 	name string
-	// known is false when the customer may not call it or it is not configured.
+	// known is false if the target is not configured or the customer may not call
+	// it.
 	known      bool
 	customer   *schema.Customer
 	service    *schema.Service
 	candidates []routing.Candidate
 }
 
-// lookUp reads the configuration in force for a customer's request.
-func (e *Entry) lookUp(customer, name string) target {
+// lookUpTarget returns the target of a customer's request under the current
+// configuration.
+func (e *Entry) lookUpTarget(customer, name string) target {
 	t := target{name: name}
 	e.cfg.Replica.View(func(r *ledger.Records) {
 		t.customer = r.Customer(customer)
@@ -79,7 +82,7 @@
 	if r.Service(name) != nil {
 		var out []routing.Candidate
 		for _, s := range r.ServersOf(name) {
-			if e.takesWork(s, s.GetIncarnation()) {
+			if e.acceptsRequests(s, s.GetIncarnation()) {
 				out = append(out, e.candidate(s))
 			}
 		}
@@ -89,21 +92,22 @@
 	var out []routing.Candidate
 	for _, res := range r.ReservationsForTarget(name) {
 		s := r.Server(res.GetServer())
-		// A replica of another version would answer under a configuration that
-		// is no longer in force.
+		// A replica of another version would serve a configuration that is no
+		// longer current.
 		loaded := res.GetState() == schema.ReservationState_RESERVATION_STATE_LOADED && res.GetVersion() == m.GetVersion()
-		if loaded && e.takesWork(s, res.GetIncarnation()) {
+		if loaded && e.acceptsRequests(s, res.GetIncarnation()) {
 			out = append(out, e.candidate(s))
 		}
 	}
 	return out
 }
 
-// takesWork also looks at what this entry heard itself: a leaving server's word
-// may not have come back through the log yet.
-func (e *Entry) takesWork(s *schema.Server, incarnation uint64) bool {
+// acceptsRequests reports whether requests may be sent to an incarnation of a server.
+// It also checks the announcements received by this entry: the announcement of a
+// leaving server may not have been replicated yet.
+func (e *Entry) acceptsRequests(s *schema.Server, incarnation uint64) bool {
 	return s != nil && s.GetIncarnation() == incarnation && !s.GetLeaving() && !s.GetLost() &&
-		!e.heard.Leaving(s.GetName(), incarnation)
+		!e.backends.Leaving(s.GetName(), incarnation)
 }
 
 func (e *Entry) candidate(s *schema.Server) routing.Candidate {
@@ -113,8 +117,8 @@
 	}
 }
 
-// supply tells the gate what stands ready.
-func (e *Entry) supply(name string, candidates int, isService bool) admission.Capacity {
+// capacity returns the capacity of a target with a number of candidates.
+func (e *Entry) capacity(name string, candidates int, isService bool) admission.Capacity {
 	limit := int(e.cfg.Settings.GetEntry().GetReplicaLimit())
 	if candidates > 0 {
 		return admission.Capacity{Slots: candidates * limit, Known: true}
@@ -123,43 +127,45 @@
 		return admission.Capacity{Known: true, ReadyIn: -1, Reason: "no application server of " + name + " is there"}
 	}
 	now := time.Now()
-	f, ok := e.forecasts.of(now, name)
+	f, ok := e.forecasts.get(now, name)
 	if !ok {
 		return admission.Capacity{}
 	}
 	if f.never {
 		return admission.Capacity{Known: true, ReadyIn: -1, Reason: f.reason}
 	}
-	return admission.Capacity{Known: true, ReadyIn: max(f.ready.Sub(now), 0), ExpectedSlots: limit}
+	return admission.Capacity{Known: true, ReadyIn: max(f.readyAt.Sub(now), 0), ExpectedSlots: limit}
 }
 
-// refresh gives the gate the present supply of every queue in use.
-func (e *Entry) refresh(queues []admission.Demand) {
-	supplies := map[string]admission.Capacity{}
+// refreshCapacity passes the current capacity of the targets of queues to the
+// admission controller.
+func (e *Entry) refreshCapacity(queues []admission.Demand) {
+	capacities := map[string]admission.Capacity{}
 	e.cfg.Replica.View(func(r *ledger.Records) {
 		for _, q := range queues {
-			supplies[q.Target] = e.supply(q.Target, len(e.candidates(r, q.Target)), r.Service(q.Target) != nil)
+			capacities[q.Target] = e.capacity(q.Target, len(e.candidates(r, q.Target)), r.Service(q.Target) != nil)
 		}
 	})
-	for t, s := range supplies {
-		e.gate.SetCapacity(t, s)
+	for target, capacity := range capacities {
+		e.admission.SetCapacity(target, capacity)
 	}
 }
 
-// watch refreshes the queues whenever the configuration or a replica changes.
-func (e *Entry) watch() {
-	sweep := time.NewTicker(sweepEvery)
+// watchConfiguration refreshes the capacity of all queues whenever the configuration
+// or a replica changes.
+func (e *Entry) watchConfiguration() {
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	for {
 		changed := e.cfg.Replica.Changed()
-		e.takeSuspects()
-		e.refresh(e.gate.Queues())
+		e.mergeRecordedSuspects()
+		e.refreshCapacity(e.admission.Queues())
 		select {
 		case <-e.stop:
 			return
 		case <-changed:
 		case <-sweep.C:
-			e.table.Sweep(time.Now(), sweepEvery)
+			e.table.Sweep(time.Now(), sweepInterval)
 		}
 	}
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,5 @@
 // Package entry is the part of a host that callers, operators and backend
-// servers connect to. It holds no durable state.
+// servers connect to. It has no durable state.
 package entry
 
 import (
@@ -28,18 +28,19 @@
 )
 
 const (
-	// Slow senders are cut off, or a few of them would hold all connections.
+	// The timeouts prevent a few slow senders from occupying all connections.
 	headerTimeout  = 5 * time.Second
 	bodyTimeout    = 30 * time.Second
 	idleTimeout    = 60 * time.Second
 	maxHeaderBytes = 64 << 10
-	// drainMargin is added to the keep time of directory answers.
+	// drainMargin is added to the time for which callers cache directory
+	// responses.
 	drainMargin = time.Second
-	// unconfirmedAfter is how long a new entry waits for a quorum before it
-	// serves at the highest revision that its reachable peers hold.
-	unconfirmedAfter = 10 * time.Second
-	readyRetry       = 200 * time.Millisecond
-	sweepEvery       = time.Minute
+	// quorumWait is how long a new entry waits for a quorum before it serves at
+	// the highest revision that its reachable peers have.
+	quorumWait            = 10 * time.Second
+	readinessPollInterval = 200 * time.Millisecond
+	sweepInterval         = time.Minute
 )
 
 // Config configures an Entry. All fields are required.
@@ -63,21 +64,21 @@
 
 // Entry serves callers, operators and backend servers of one host.
 type Entry struct {
-	cfg    Config
-	gate   *admission.Controller
-	table  *routing.Table
-	budget *routing.RetryBudget
-	sender *routing.Sender
-	keeper *claim.Client
-	heard  *backend.Registry
-	// guard holds requests back that end the servers that run them, and suspects holds a
-	// token while it knows what is to be recorded.
-	guard    *quarantine.Guard
-	suspects chan struct{}
-	// forecasts holds the leader's word by target.
-	forecasts *forecasts
-	servers   []*http.Server
-	kick      chan struct{}
+	cfg       Config
+	admission *admission.Controller
+	table     *routing.Table
+	budget    *routing.RetryBudget
+	sender    *routing.Sender
+	claims    *claim.Client
+	backends  *backend.Registry
+	// guard holds back requests that end the servers that run them. suspectsDue
+	// has a token while the guard has suspects that are not recorded yet.
+	guard       *quarantine.Guard
+	suspectsDue chan struct{}
+	forecasts   *forecasts
+	httpServers []*http.Server
+	// reportDue has a token while a report to the leader is due immediately.
+	reportDue chan struct{}
 	stop      chan struct{}
 	done      chan struct{}
 	once      sync.Once
@@ -87,38 +88,38 @@
 	inFlight  atomic.Int64
 }
 
-// Readiness tells whether an entry may be sent to.
+// Readiness is the state in which an entry serves requests or not.
 type Readiness int32
 
 //go:generate go tool stringer -type=Readiness -linecomment
 
-// The steps of readiness.
+// The values of Readiness.
 const (
 	ReadinessNone        Readiness = iota // not-ready
 	ReadinessUnconfirmed                  // unconfirmed
 	ReadinessConfirmed                    // ready
 )
 
-// New starts an entry: its listeners answer at once, requests are refused until
-// the entry knows that its configuration is not behind.
+// New starts an entry. Its listeners accept connections immediately; requests are
+// refused until the entry's configuration is known to be current.
 func New(cfg Config) *Entry {
 	e := &Entry{
 		cfg: cfg, table: routing.NewTable(routing.PolicyWeighted, cfg.Random),
-		budget: routing.NewRetryBudget(), sender: routing.NewSender(), heard: backend.NewRegistry(),
-		forecasts: newForecasts(), kick: make(chan struct{}, 1), suspects: make(chan struct{}, 1),
+		budget: routing.NewRetryBudget(), sender: routing.NewSender(), backends: backend.NewRegistry(),
+		forecasts: newForecasts(), reportDue: make(chan struct{}, 1), suspectsDue: make(chan struct{}, 1),
 		stop: make(chan struct{}), done: make(chan struct{}),
 	}
-	e.gate = admission.NewController(admission.Config{
+	e.admission = admission.NewController(admission.Config{
 		QueueLimit: int(cfg.Settings.GetEntry().GetQueueLimit()), OnGrant: cfg.Metrics.Judged,
 	})
-	e.keeper = claim.NewClient(claim.Config{
+	e.claims = claim.NewClient(claim.Config{
 		Entry: cfg.Self.GetName(), Incarnation: cfg.Incarnation, Propose: cfg.Control.Propose,
 		NewAttemptID: cfg.RandomID, Log: cfg.Log,
 	})
 	e.guard = quarantine.NewGuard(quarantine.GuardConfig{
-		Entry: cfg.Self.GetName(), Probe: relay.NewSender(relay.Config{}).Probe, OnChange: e.recordSoon, Log: cfg.Log,
+		Entry: cfg.Self.GetName(), Probe: relay.NewSender(relay.Config{}).Probe, OnChange: e.requestRecording, Log: cfg.Log,
 	})
-	e.gauges()
+	e.registerGauges()
 	e.serve(cfg.CallerListener, e.callerRoutes())
 	e.serve(cfg.OperatorListener, e.operatorRoutes())
 	e.serve(cfg.BackendListener, e.backendRoutes())
@@ -129,7 +130,7 @@
 	}()
 	go func() {
 		defer e.wg.Done()
-		e.report()
+		e.reportLoop()
 	}()
 	go func() {
 		defer e.wg.Done()
@@ -137,7 +138,7 @@
 	}()
 	go func() {
 		defer e.wg.Done()
-		e.watch()
+		e.watchConfiguration()
 	}()
 	go func() {
 		defer close(e.done)
@@ -147,7 +148,7 @@
 	return e
 }
 
-func (e *Entry) gauges() {
+func (e *Entry) registerGauges() {
 	e.cfg.Metrics.Gauge("in_flight_requests", "Requests of callers in flight.", func() float64 { return float64(e.InFlight()) })
 	e.cfg.Metrics.Gauge("configuration_revision", "Revision that this entry has in force.",
 		func() float64 { return float64(e.cfg.Replica.Revision()) })
@@ -156,7 +157,7 @@
 	e.cfg.Metrics.Gauge("requests_held_back", "Requests that this entry holds back, as they end their servers.",
 		func() float64 { return float64(e.guard.Suspects().HeldBackCount()) })
 	e.cfg.Metrics.Gauge("heard_servers", "Backend servers that announce themselves to this entry.",
-		func() float64 { return float64(e.heard.Len()) })
+		func() float64 { return float64(e.backends.Len()) })
 }
 
 func (e *Entry) serve(l net.Listener, routes *echo.Echo) {
@@ -164,7 +165,7 @@
 		Handler: routes, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeaderBytes,
 	}
-	e.servers = append(e.servers, s)
+	e.httpServers = append(e.httpServers, s)
 	e.wg.Add(1)
 	go func() {
 		defer e.wg.Done()
@@ -181,30 +182,30 @@
 	return r
 }
 
-// awaitReady waits until the entry has in force what a quorum had when it
-// started. A restarted entry that served before could be hundreds of changes
-// behind and serve what an operator has withdrawn.
+// awaitReady waits until the entry has applied the revision that a quorum had
+// when the entry started. A restarted entry that served earlier could lag by
+// hundreds of changes and serve targets that an operator has removed.
 func (e *Entry) awaitReady() {
-	began := time.Now()
-	var need uint64
-	for need == 0 {
+	start := time.Now()
+	var quorumRevision uint64
+	for quorumRevision == 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		revision, err := e.cfg.Control.Read(ctx)
 		cancel()
 		if err == nil {
-			need = revision
+			quorumRevision = revision
 			break
 		}
-		if time.Since(began) > unconfirmedAfter && e.cfg.Replica.Revision() > 0 && e.ready.Load() == int32(ReadinessNone) {
+		if time.Since(start) > quorumWait && e.cfg.Replica.Revision() > 0 && e.ready.Load() == int32(ReadinessNone) {
 			e.cfg.Log.Info("serving without a quorum", "revision", e.cfg.Replica.Revision())
 			e.ready.Store(int32(ReadinessUnconfirmed))
 		}
-		if !e.pause(readyRetry) {
+		if !e.sleep(readinessPollInterval) {
 			return
 		}
 	}
-	for e.cfg.Replica.Revision() < need {
-		if !e.pause(readyRetry / 10) {
+	for e.cfg.Replica.Revision() < quorumRevision {
+		if !e.sleep(readinessPollInterval / 10) {
 			return
 		}
 	}
@@ -212,8 +213,8 @@
 	e.cfg.Log.Info("entry ready", "revision", e.cfg.Replica.Revision())
 }
 
-// pause returns false when the entry stops meanwhile.
-func (e *Entry) pause(d time.Duration) bool {
+// sleep waits for d, and returns false if the entry stops before that.
+func (e *Entry) sleep(d time.Duration) bool {
 	select {
 	case <-e.stop:
 		return false
@@ -222,7 +223,8 @@
 	}
 }
 
-// Readiness tells whether the entry serves, and on what ground.
+// Readiness returns whether the entry serves requests, and whether a quorum
+// confirmed its configuration.
 func (e *Entry) Readiness() Readiness { return Readiness(e.ready.Load()) }
 
 // InFlight returns the number of callers' requests in flight.
@@ -231,22 +233,22 @@
 // Done is closed when the entry has stopped.
 func (e *Entry) Done() <-chan struct{} { return e.done }
 
-// Drain takes the entry out of the directory, goes on serving for as long as
-// callers may keep the old answer, then closes the listeners and waits for what
-// is in flight until the context ends.
+// Drain removes the entry from the directory, continues to serve while callers
+// may have the old directory cached, then closes the listeners and waits for
+// requests in flight until the context ends.
 func (e *Entry) Drain(ctx context.Context) {
 	e.stopping.Store(true)
 	e.cfg.Membership.AnnounceStopping()
-	keep := e.cfg.Settings.GetEntry().GetDirectoryKeep().AsDuration() + drainMargin
-	e.cfg.Log.Info("draining", "keep", keep.String(), "in-flight", e.InFlight())
+	cacheTime := e.cfg.Settings.GetEntry().GetDirectoryKeep().AsDuration() + drainMargin
+	e.cfg.Log.Info("draining", "keep", cacheTime.String(), "in-flight", e.InFlight())
 	select {
 	case <-ctx.Done():
-	case <-time.After(keep):
+	case <-time.After(cacheTime):
 	}
 	e.close(ctx)
 }
 
-// Close stops at once; requests in flight are cut.
+// Close stops the entry immediately; requests in flight are interrupted.
 func (e *Entry) Close() {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -255,7 +257,7 @@
 
 func (e *Entry) close(ctx context.Context) {
 	e.once.Do(func() {
-		for _, s := range e.servers {
+		for _, s := range e.httpServers {
 			if s.Shutdown(ctx) != nil {
 				_ = s.Close()
 			}
--- a/internal/entry/model.go
+++ b/internal/entry/model.go
@@ -19,59 +19,61 @@
 )
 
 const (
-	// maxAnswerBytes bounds a whole answer, which is held until it is complete.
-	maxAnswerBytes = 16 << 20
-	// minPatience is the least time that a reused connection may be silent;
-	// patienceTimes the mean service time is more for slow models.
-	minPatience   = 3 * time.Second
-	patienceTimes = 4
-	// fullPause is waited when all replicas are full or excluded.
-	fullPause = 5 * time.Millisecond
+	// maxResponseBytes bounds a response that is buffered until it is complete.
+	maxResponseBytes = 16 << 20
+	// minSilenceTimeout is the minimum time for which a reused connection may be
+	// silent; for slow models it is silenceTimeoutServiceTimes times the mean
+	// service time.
+	minSilenceTimeout          = 3 * time.Second
+	silenceTimeoutServiceTimes = 4
+	// noReplicaRetryDelay is the delay before a retry if all replicas are full or
+	// excluded.
+	noReplicaRetryDelay = 5 * time.Millisecond
 )
 
-// completion is what an entry needs to know of a completion request.
-type completion struct {
+// completionRequest holds the fields of a completion request that an entry reads.
+type completionRequest struct {
 	Model  string `json:"model"`
 	Stream bool   `json:"stream"`
 }
 
-func (e *Entry) model(c echo.Context) error {
+func (e *Entry) serveCompletion(c echo.Context) error {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
-	in, refused := e.check(c, kindModel)
+	in, refused := e.checkRequest(c, kindModel)
 	if refused != nil {
 		return e.refuse(c, in, refused)
 	}
-	var q completion
+	var q completionRequest
 	if err := json.Unmarshal(in.body, &q); err != nil || q.Model == "" {
 		return e.refuse(c, in, refusal.New(refusal.BadRequest, `the body is not a JSON object with a "model"`))
 	}
-	if refused := e.aim(c, in, q.Model); refused != nil {
+	if refused := e.resolveTarget(c, in, q.Model); refused != nil {
 		return e.refuse(c, in, refused)
 	}
 	if c.Request().Header.Get(HeaderRepeatable) == "no" {
-		return e.unrepeatable(c, in)
+		return e.serveUnrepeatable(c, in)
 	}
-	return e.repeatable(c, in, q.Stream)
+	return e.serveRepeatable(c, in, q.Stream)
 }
 
-// repeatable serves a request that may run more than once.
-func (e *Entry) repeatable(c echo.Context, in *incoming, stream bool) error {
+// serveRepeatable serves a request that may run more than once.
+func (e *Entry) serveRepeatable(c echo.Context, in *incomingRequest, stream bool) error {
 	ctx, cancel := context.WithDeadline(c.Request().Context(), in.deadline)
 	defer cancel()
-	if refused := e.heldBack(ctx, in); refused != nil {
+	if refused := e.checkHeldBack(ctx, in); refused != nil {
 		return e.refuse(c, in, refused)
 	}
-	ticket, refused := e.enter(in)
+	ticket, refused := e.enqueue(in)
 	if refused != nil {
 		return e.refuse(c, in, refused)
 	}
 	e.budget.Deposit()
-	run := &attempts{
+	a := &attempts{
 		e: e, in: in, ticket: ticket, stream: stream, cold: len(in.target.candidates) == 0,
 		exclude: map[string]bool{},
 	}
-	served, refused := run.all(ctx, c)
+	served, refused := a.run(ctx, c)
 	ticket.Release(served)
 	if refused != nil {
 		return e.refuse(c, in, refused)
@@ -80,116 +82,119 @@
 	return nil
 }
 
-// attempts tries replicas until one has answered.
+// attempts sends a repeatable request to replicas until one returns a response.
 type attempts struct {
 	e      *Entry
-	in     *incoming
+	in     *incomingRequest
 	ticket *admission.Ticket
 	stream bool
-	cold   bool
-	// exclude holds servers that this request should not try again.
+	// cold is set if the target had no replica when the request arrived.
+	cold bool
+	// exclude holds the servers that the request must not be sent to again.
 	exclude map[string]bool
-	// fresh is set after a silent connection: the next attempt trusts none that
-	// is pooled.
-	fresh bool
-	// paid is set while an attempt is under way that the budget paid for.
-	paid bool
-	// mayHaveRun is set by an attempt that is not proved not to have run.
+	// newConnection is set after a connection was silent: the next attempt does not
+	// use a pooled connection.
+	newConnection bool
+	// retryWithdrawn is set if the retry budget was charged for the next attempt.
+	retryWithdrawn bool
+	// mayHaveRun is set once an attempt is not proved not to have run.
 	mayHaveRun bool
 }
 
-func (a *attempts) all(ctx context.Context, c echo.Context) (served bool, refused *refusal.Refusal) {
+func (a *attempts) run(ctx context.Context, c echo.Context) (served bool, refused *refusal.Refusal) {
 	for {
-		if r := a.e.await(ctx, a.ticket); r != nil {
-			return false, a.honest(r)
+		if r := a.e.awaitAdmission(ctx, a.ticket); r != nil {
+			return false, a.correctOutcome(r)
 		}
-		finished, served, r := a.one(ctx, c)
+		finished, served, r := a.attempt(ctx, c)
 		if finished {
-			return served, a.honest(r)
+			return served, a.correctOutcome(r)
 		}
 		a.e.cfg.Metrics.Retry()
 		a.ticket.Requeue()
 	}
 }
 
-// honest never says "not run" of a request that an earlier attempt may have run.
-func (a *attempts) honest(r *refusal.Refusal) *refusal.Refusal {
+// correctOutcome replaces the outcome NotRun of a refusal by Unknown if an earlier
+// attempt may have run the request.
+func (a *attempts) correctOutcome(r *refusal.Refusal) *refusal.Refusal {
 	if r != nil && a.mayHaveRun && r.Outcome() == refusal.NotRun {
 		return r.WithOutcome(refusal.Unknown)
 	}
 	return r
 }
 
-// one makes one attempt. It is not finished when another one should follow.
-func (a *attempts) one(ctx context.Context, c echo.Context) (finished, served bool, r *refusal.Refusal) {
+// attempt makes one attempt. finished is false if another attempt should follow.
+func (a *attempts) attempt(ctx context.Context, c echo.Context) (finished, served bool, r *refusal.Refusal) {
 	e, in := a.e, a.in
-	if r := e.heldBack(ctx, in); r != nil {
+	if r := e.checkHeldBack(ctx, in); r != nil {
 		return true, false, r
 	}
-	chosen, ok := a.pick()
+	chosen, ok := a.pickReplica()
 	if !ok {
 		return a.noReplica(ctx)
 	}
-	a.paid = false
+	a.retryWithdrawn = false
 	ctx, span := e.cfg.Tracer.Start(ctx, "dispatch")
 	defer span.End()
 	span.SetAttributes(attribute.String("fennelyard.server", chosen.Server))
 	call := e.call(ctx, c.Request(), in, chosen)
-	call.NewConnection = a.fresh
-	call.SilenceTimeout = max(minPatience, patienceTimes*e.gate.MeanServiceTime(in.target.name))
+	call.NewConnection = a.newConnection
+	call.SilenceTimeout = max(minSilenceTimeout, silenceTimeoutServiceTimes*e.admission.MeanServiceTime(in.target.name))
 	reply, err := e.sender.Send(ctx, call)
 	if err != nil {
-		a.done(chosen, routing.Result{OK: ctx.Err() != nil, Reported: -1})
-		e.brokeOff(ctx, in, chosen, err)
-		return a.failed(ctx, chosen, err)
+		a.recordResult(chosen, routing.Result{OK: ctx.Err() != nil, Reported: -1})
+		e.reportFailedAttempt(ctx, in, chosen, err)
+		return a.handleFailure(ctx, chosen, err)
 	}
 	defer reply.Close()
 	if reply.NotRun() {
-		a.done(chosen, routing.Result{OK: true, Reported: reply.Outstanding()})
+		a.recordResult(chosen, routing.Result{OK: true, Reported: reply.Outstanding()})
 		a.exclude[chosen.Server] = true
 		return ctx.Err() != nil, false, refusal.New(refusal.DeadlinePassed, "the deadline passed between two attempts")
 	}
 	if reply.Status() >= http.StatusInternalServerError {
-		a.done(chosen, routing.Result{Reported: reply.Outstanding()})
-		return a.failed(ctx, chosen, errors.Newf("status %d", reply.Status()))
+		a.recordResult(chosen, routing.Result{Reported: reply.Outstanding()})
+		return a.handleFailure(ctx, chosen, errors.Newf("status %d", reply.Status()))
 	}
 	if a.stream {
-		return a.passStream(ctx, c, chosen, call, reply)
+		return a.forwardStream(ctx, c, chosen, call, reply)
 	}
-	return a.passWhole(ctx, c, chosen, reply)
+	return a.forwardResponse(ctx, c, chosen, reply)
 }
 
-func (a *attempts) pick() (routing.Candidate, bool) {
+func (a *attempts) pickReplica() (routing.Candidate, bool) {
 	var candidates []routing.Candidate
 	a.e.cfg.Replica.View(func(r *ledger.Records) { candidates = a.e.candidates(r, a.in.target.name) })
 	limit := int(a.e.cfg.Settings.GetEntry().GetReplicaLimit())
 	return a.e.table.Pick(time.Now(), a.in.target.name, a.in.body, candidates, limit, a.exclude)
 }
 
-// noReplica goes back to the queue: the replica that was there is gone or full,
-// or each one was tried.
+// noReplica handles an attempt without a replica: all are gone, full or were tried.
+// The request returns to the queue unless the retry budget is exhausted.
 func (a *attempts) noReplica(ctx context.Context) (finished, served bool, r *refusal.Refusal) {
 	if len(a.exclude) > 0 {
 		clear(a.exclude)
-		if !a.paid && !a.e.budget.TryWithdraw() {
+		if !a.retryWithdrawn && !a.e.budget.TryWithdraw() {
 			return true, false, refusal.New(refusal.BackendFailed, "every replica refused or failed").WithRetryAfter(time.Second)
 		}
 	}
-	a.e.refresh([]admission.Demand{{Target: a.in.target.name}})
+	a.e.refreshCapacity([]admission.Demand{{Target: a.in.target.name}})
 	select {
 	case <-ctx.Done():
 		return true, false, refusal.New(refusal.DeadlinePassed, "no replica was free before the deadline")
-	case <-time.After(fullPause):
+	case <-time.After(noReplicaRetryDelay):
 		return false, false, nil
 	}
 }
 
-func (a *attempts) done(c routing.Candidate, r routing.Result) {
+func (a *attempts) recordResult(c routing.Candidate, r routing.Result) {
 	a.e.table.RecordResult(time.Now(), c, a.in.target.name, a.in.body, r)
 }
 
-// failed decides whether another attempt follows a failed one.
-func (a *attempts) failed(ctx context.Context, chosen routing.Candidate, err error) (finished, served bool, r *refusal.Refusal) {
+// handleFailure decides whether another attempt follows a failed one, and charges
+// the retry budget for it.
+func (a *attempts) handleFailure(ctx context.Context, chosen routing.Candidate, err error) (finished, served bool, r *refusal.Refusal) {
 	if !errors.Is(err, routing.ErrNotRun) {
 		a.mayHaveRun = true
 	}
@@ -197,12 +202,12 @@
 		return true, false, refusal.New(refusal.DeadlinePassed, "the deadline passed while server %q worked", chosen.Server)
 	}
 	if errors.Is(err, routing.ErrSilent) {
-		a.fresh = true
+		a.newConnection = true
 	} else {
 		a.exclude[chosen.Server] = true
 	}
-	a.paid = a.e.budget.TryWithdraw()
-	if !a.paid {
+	a.retryWithdrawn = a.e.budget.TryWithdraw()
+	if !a.retryWithdrawn {
 		return true, false, refusal.New(refusal.BackendFailed, "server %q failed and no retry is left: %v", chosen.Server, err).
 			WithRetryAfter(time.Second)
 	}
@@ -210,29 +215,29 @@
 	return false, false, nil
 }
 
-// passWhole holds an answer until it is complete, so that a truncated one can be
-// tried again and never reaches the caller.
-func (a *attempts) passWhole(ctx context.Context, c echo.Context, chosen routing.Candidate, reply *routing.Reply) (finished, served bool, r *refusal.Refusal) {
-	body, err := reply.ReadAll(maxAnswerBytes)
+// forwardResponse buffers a response until it is complete, so that a request with a
+// truncated response can be retried and no caller receives a part of one.
+func (a *attempts) forwardResponse(ctx context.Context, c echo.Context, chosen routing.Candidate, reply *routing.Reply) (finished, served bool, r *refusal.Refusal) {
+	body, err := reply.ReadAll(maxResponseBytes)
 	if err == nil && reply.Status() == http.StatusOK && !json.Valid(body) {
 		err = errors.Newf("not JSON: %w", routing.ErrIncomplete)
 	}
-	a.done(chosen, routing.Result{OK: err == nil || ctx.Err() != nil, FirstByte: reply.FirstByte(), Reported: reply.Outstanding()})
+	a.recordResult(chosen, routing.Result{OK: err == nil || ctx.Err() != nil, FirstByte: reply.FirstByte(), Reported: reply.Outstanding()})
 	if err != nil {
-		a.e.brokeOff(ctx, a.in, chosen, err)
-		return a.failed(ctx, chosen, err)
+		a.e.reportFailedAttempt(ctx, a.in, chosen, err)
+		return a.handleFailure(ctx, chosen, err)
 	}
-	a.e.guard.AttemptCompleted(a.in.subject())
-	a.e.cfg.Metrics.FirstByte(a.in.kind, time.Since(a.in.began), a.cold)
+	a.e.guard.AttemptCompleted(a.in.keyedRequest())
+	a.e.cfg.Metrics.FirstByte(a.in.kind, time.Since(a.in.received), a.cold)
 	copyHeader(c.Response().Header(), reply.Header())
 	c.Response().Header().Set(routing.HeaderRequestID, a.in.id)
-	// A caller that went away has its answer all the same.
+	// The request is served even if its caller has disconnected.
 	_ = c.Blob(reply.Status(), reply.Header().Get("Content-Type"), body)
 	return true, true, nil
 }
 
-// call builds the call of a request to a server.
-func (e *Entry) call(ctx context.Context, q *http.Request, in *incoming, to routing.Candidate) routing.Call {
+// call returns the call that sends a request to a server.
+func (e *Entry) call(ctx context.Context, q *http.Request, in *incomingRequest, to routing.Candidate) routing.Call {
 	header := q.Header.Clone()
 	header.Del("Authorization")
 	header.Del(HeaderAttempt)
@@ -253,8 +258,8 @@
 	}
 }
 
-// reachable lists what a customer may call, sorted by name.
-func (e *Entry) reachable(customer string) []string {
+// reachableModels returns the names of the models that a customer may call, sorted.
+func (e *Entry) reachableModels(customer string) []string {
 	var out []string
 	e.cfg.Replica.View(func(r *ledger.Records) {
 		for _, m := range r.Models() {
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	commandWait     = 5 * time.Second
+	commandTimeout  = 5 * time.Second
 	maxCommandBytes = 8 << 20
 	planPrefix      = "plan/"
 )
@@ -30,9 +30,9 @@
 	r.POST("/v1/intents", e.applyIntent)
 	r.GET("/v1/intents", e.listIntents)
 	r.GET("/v1/plans/:number", e.showPlan)
-	r.POST("/v1/plans/:number/confirm", func(c echo.Context) error { return e.decide(c, true) })
-	r.POST("/v1/plans/:number/reject", func(c echo.Context) error { return e.decide(c, false) })
-	r.POST("/v1/servers/:name/forget", e.forget)
+	r.POST("/v1/plans/:number/confirm", func(c echo.Context) error { return e.decidePlan(c, true) })
+	r.POST("/v1/plans/:number/reject", func(c echo.Context) error { return e.decidePlan(c, false) })
+	r.POST("/v1/servers/:name/forget", e.forgetServer)
 	r.GET("/v1/status", e.status)
 	operator.RegisterSuspects(r, operator.SuspectsConfig{
 		List: e.guard.Suspects().List, Release: e.guard.Clear, Log: e.cfg.Log.WithName("quarantine"),
@@ -45,13 +45,13 @@
 	if refused := readCommand(c, q); refused != nil {
 		return writeRefusal(c, "", refused)
 	}
-	return e.command(c, &schema.Command{
+	return e.proposeCommand(c, &schema.Command{
 		Id: q.GetCommandId(), Operator: q.GetOperator(),
 		Body: &schema.Command_ApplyIntent{ApplyIntent: &schema.ApplyIntent{Base: q.GetBaseRevision(), Intent: q.GetIntent()}},
 	})
 }
 
-func (e *Entry) decide(c echo.Context, confirm bool) error {
+func (e *Entry) decidePlan(c echo.Context, confirm bool) error {
 	number, err := strconv.ParseUint(c.Param("number"), 10, 64)
 	if err != nil {
 		return writeRefusal(c, "", refusal.New(refusal.BadRequest, "%q is not a plan's number", c.Param("number")))
@@ -60,18 +60,18 @@
 	if refused := readCommand(c, q); refused != nil {
 		return writeRefusal(c, "", refused)
 	}
-	return e.command(c, &schema.Command{
+	return e.proposeCommand(c, &schema.Command{
 		Id: q.GetCommandId(), Operator: q.GetOperator(),
 		Body: &schema.Command_DecidePlan{DecidePlan: &schema.DecidePlan{Plan: number, Confirm: confirm}},
 	})
 }
 
-func (e *Entry) forget(c echo.Context) error {
+func (e *Entry) forgetServer(c echo.Context) error {
 	q := &schema.ForgetRequest{}
 	if refused := readCommand(c, q); refused != nil {
 		return writeRefusal(c, "", refused)
 	}
-	return e.command(c, &schema.Command{
+	return e.proposeCommand(c, &schema.Command{
 		Id: q.GetCommandId(), Operator: q.GetOperator(),
 		Body: &schema.Command_ForgetServer{ForgetServer: &schema.ForgetServer{
 			Name: c.Param("name"), Incarnation: q.GetIncarnation(),
@@ -99,20 +99,21 @@
 	return nil
 }
 
-func (e *Entry) command(c echo.Context, cmd *schema.Command) error {
-	ctx, cancel := context.WithTimeout(c.Request().Context(), commandWait)
+func (e *Entry) proposeCommand(c echo.Context, cmd *schema.Command) error {
+	ctx, cancel := context.WithTimeout(c.Request().Context(), commandTimeout)
 	defer cancel()
 	result, err := e.cfg.Control.Propose(ctx, cmd)
 	if err != nil {
 		return writeRefusal(c, "", controlRefusal(err))
 	}
-	return operator.WriteProto(c, statusOf(result.GetCode()), &schema.OperatorReply{
-		Result: resultWord(result.GetCode()), Reason: result.GetReason(),
+	return operator.WriteProto(c, httpStatus(result.GetCode()), &schema.OperatorReply{
+		Result: resultName(result.GetCode()), Reason: result.GetReason(),
 		Revision: result.GetRevision(), Plan: planView(result.GetPlan()),
 	})
 }
 
-// controlRefusal tells an operator whether the command can have been taken.
+// controlRefusal returns the refusal of a command that failed at the control group.
+// Its outcome states whether the command may have been committed.
 func controlRefusal(err error) *refusal.Refusal {
 	r := refusal.New(refusal.NoLeader, "%v", err).WithRetryAfter(time.Second)
 	if errors.Is(err, control.ErrOutcomeUnknown) {
@@ -121,7 +122,7 @@
 	return r
 }
 
-func statusOf(code schema.ResultCode) int {
+func httpStatus(code schema.ResultCode) int {
 	switch code {
 	case schema.ResultCode_RESULT_CODE_OK:
 		return http.StatusOK
@@ -134,12 +135,14 @@
 	}
 }
 
-// resultWord turns RESULT_CODE_ID_REUSED into id-reused.
-func resultWord(code schema.ResultCode) string {
-	return enumWord(code.String(), "RESULT_CODE_")
+// resultName returns the name of a result code in replies: id-reused for
+// RESULT_CODE_ID_REUSED.
+func resultName(code schema.ResultCode) string {
+	return enumName(code.String(), "RESULT_CODE_")
 }
 
-func enumWord(name, prefix string) string {
+// enumName converts the name of an enum value to kebab case and removes its prefix.
+func enumName(name, prefix string) string {
 	return strings.ReplaceAll(strings.ToLower(strings.TrimPrefix(name, prefix)), "_", "-")
 }
 
@@ -148,7 +151,7 @@
 		return nil
 	}
 	v := &schema.PlanView{
-		Number: p.GetNumber(), State: enumWord(p.GetState().String(), "PLAN_STATE_"),
+		Number: p.GetNumber(), State: enumName(p.GetState().String(), "PLAN_STATE_"),
 		Intent: p.GetIntent().GetName(), Customer: p.GetIntent().GetCustomer().GetName(),
 		GroundRevision: p.GetGround(), Operator: p.GetOperator(),
 	}
@@ -192,7 +195,7 @@
 }
 
 func (e *Entry) fetch(c echo.Context, prefix string) (*schema.FetchReply, error) {
-	ctx, cancel := context.WithTimeout(c.Request().Context(), commandWait)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), commandTimeout)
 	defer cancel()
 	return e.cfg.Control.Fetch(ctx, prefix)
 }
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// reportEvery is the time between regular reports, pressingEvery that while
-	// requests wait for a load.
-	reportEvery   = time.Second
-	pressingEvery = 250 * time.Millisecond
-	reportWait    = time.Second
-	// reportGap bounds the reports that arrivals can cause.
-	reportGap = 10 * time.Millisecond
+	// reportInterval is the time between regular reports, waitingReportInterval
+	// that while requests wait or after a failed report.
+	reportInterval        = time.Second
+	waitingReportInterval = 250 * time.Millisecond
+	reportTimeout         = time.Second
+	// minReportInterval limits the rate of reports that arriving requests cause.
+	minReportInterval = 10 * time.Millisecond
 )
 
-// report keeps the leader told of what this entry hears and what waits here.
-func (e *Entry) report() {
-	told := ""
+// reportLoop reports the announcements that this entry receives and the requests
+// that wait here to the leader.
+func (e *Entry) reportLoop() {
+	reportedLeader := ""
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -28,48 +29,49 @@
 		case <-e.stop:
 			return
 		case <-timer.C:
-		case <-e.kick:
-		case <-e.heard.ReportDue():
+		case <-e.reportDue:
+		case <-e.backends.ReportDue():
 		}
-		next := reportEvery
-		if e.tell(&told) {
-			next = pressingEvery
+		next := reportInterval
+		if e.sendReport(&reportedLeader) {
+			next = waitingReportInterval
 		}
-		if !e.pause(reportGap) {
+		if !e.sleep(minReportInterval) {
 			return
 		}
 		timer.Reset(next)
 	}
 }
 
-// tell sends one report and returns whether requests wait for a load.
-func (e *Entry) tell(told *string) bool {
-	// A leader that took over has heard nothing from this entry yet.
-	if leader := e.cfg.Control.Leader(); leader != *told {
-		e.heard.MarkAllUnreported()
-		*told = leader
+// sendReport sends one report and returns whether requests wait, or true if the
+// report failed. reportedLeader is the leader of the last report.
+func (e *Entry) sendReport(reportedLeader *string) bool {
+	// A new leader has not received any report from this entry yet.
+	if leader := e.cfg.Control.Leader(); leader != *reportedLeader {
+		e.backends.MarkAllUnreported()
+		*reportedLeader = leader
 	}
 	now := time.Now()
-	queues := e.gate.TakeDemands()
-	announcements := e.heard.Unreported(now)
-	ctx, cancel := context.WithTimeout(context.Background(), reportWait)
+	queues := e.admission.TakeDemands()
+	announcements := e.backends.Unreported(now)
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	reply, err := e.cfg.Control.Report(ctx, &schema.Report{
 		Entry: e.cfg.Self.GetName(), EntryIncarnation: e.cfg.Incarnation,
-		Announcements: announcements, Demands: demandsOf(queues, now),
+		Announcements: announcements, Demands: demandMessages(queues, now),
 	})
 	if err != nil {
 		e.cfg.Log.V(1).Info("report not taken", "reason", err.Error())
 		return true
 	}
-	if leader := e.cfg.Control.Leader(); leader != *told {
-		e.heard.MarkAllUnreported()
-		*told = leader
+	if leader := e.cfg.Control.Leader(); leader != *reportedLeader {
+		e.backends.MarkAllUnreported()
+		*reportedLeader = leader
 	} else {
-		e.heard.MarkReported(announcements)
+		e.backends.MarkReported(announcements)
 	}
 	e.forecasts.set(time.Now(), reply.GetForecasts())
-	e.refresh(queues)
+	e.refreshCapacity(queues)
 	for _, q := range queues {
 		if q.Waiting > 0 {
 			return true
@@ -78,7 +80,7 @@
 	return false
 }
 
-func demandsOf(queues []admission.Demand, now time.Time) []*schema.Demand {
+func demandMessages(queues []admission.Demand, now time.Time) []*schema.Demand {
 	out := make([]*schema.Demand, 0, len(queues))
 	for _, q := range queues {
 		d := &schema.Demand{
@@ -93,10 +95,10 @@
 	return out
 }
 
-// wake has the leader told at once that a request waits.
-func (e *Entry) wake() {
+// requestReport has a report sent immediately.
+func (e *Entry) requestReport() {
 	select {
-	case e.kick <- struct{}{}:
+	case e.reportDue <- struct{}{}:
 	default:
 	}
 }
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -18,36 +18,37 @@
 	"fennelyard/internal/schema"
 )
 
-// lateGrace is how long the answer to a claimed request is still awaited after
-// the caller's deadline, so that a resend can be given it.
-const lateGrace = 30 * time.Second
+// lateResponseGrace is the time after the caller's deadline for which the response to
+// a claimed request is still awaited, so that a retry can return it.
+const lateResponseGrace = 30 * time.Second
 
-// servicesPrefix is the path under which services are reached.
+// servicesPrefix is the path prefix of services.
 const servicesPrefix = "/services/"
 
-// answerMargin lets the record of a request that was refused at its deadline
-// come back first, so that the caller is told "not run" and not "unknown".
-const answerMargin = 100 * time.Millisecond
+// settleMargin is the time after the deadline for recording the outcome of a request
+// refused at its deadline, so that the caller receives the outcome not-run rather
+// than unknown.
+const settleMargin = 100 * time.Millisecond
 
-func (e *Entry) service(c echo.Context) error {
+func (e *Entry) serveService(c echo.Context) error {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
-	in, refused := e.check(c, kindService)
+	in, refused := e.checkRequest(c, kindService)
 	if refused == nil {
-		refused = e.aim(c, in, c.Param("service"))
+		refused = e.resolveTarget(c, in, c.Param("service"))
 	}
 	if refused != nil {
-		return e.refuse(c, in, e.beforeClaim(in, refused))
+		return e.refuse(c, in, e.refusalBeforeClaim(in, refused))
 	}
 	in.path = pathWithin(c.Request().URL, c.Param("service"))
 	if isIdempotent(c.Request().Method, in.target.service) {
-		return e.repeatable(c, in, false)
+		return e.serveRepeatable(c, in, false)
 	}
-	return e.unrepeatable(c, in)
+	return e.serveUnrepeatable(c, in)
 }
 
-// pathWithin returns the path and query that a service sees, as the caller
-// escaped them.
+// pathWithin returns the path and query sent to a service, escaped as the caller
+// sent them.
 func pathWithin(u *url.URL, service string) string {
 	path := strings.TrimPrefix(u.EscapedPath(), servicesPrefix+service)
 	if path == "" {
@@ -67,54 +68,56 @@
 	return slices.Contains(s.GetIdempotentMethods(), method)
 }
 
-// beforeClaim keeps a refusal honest that was made before the claims were asked
-// about the key.
-func (e *Entry) beforeClaim(in *incoming, r *refusal.Refusal) *refusal.Refusal {
+// refusalBeforeClaim returns a refusal that is made before the key is looked up in
+// the claims: its outcome is unknown unless this is the first attempt.
+func (e *Entry) refusalBeforeClaim(in *incomingRequest, r *refusal.Refusal) *refusal.Refusal {
 	if in.key == "" {
 		return r
 	}
-	return claim.UnknownUnlessFirst(r, in.first)
+	return claim.UnknownUnlessFirst(r, in.firstAttempt)
 }
 
-// unrepeatable serves a request that must not run twice: claimed, then queued,
-// then sent on a connection of its own.
-func (e *Entry) unrepeatable(c echo.Context, in *incoming) error {
+// serveUnrepeatable serves a request that must not run twice: it is claimed, then
+// queued, then sent on a new connection.
+func (e *Entry) serveUnrepeatable(c echo.Context, in *incomingRequest) error {
 	if in.key == "" {
 		return e.refuse(c, in, refusal.New(refusal.KeyMissing,
 			"a %s request needs a header %s that names it across resends", c.Request().Method, HeaderIdempotencyKey))
 	}
 	q := c.Request()
-	grant, kept, refused := e.keeper.Begin(q.Context(), claim.Request{
+	grant, recorded, refused := e.claims.Begin(q.Context(), claim.Request{
 		Customer: in.customer, Key: in.key, Method: q.Method, Path: in.target.name + in.path, Body: in.body,
-		Deadline: in.deadline, First: in.first,
+		Deadline: in.deadline, First: in.firstAttempt,
 	})
 	if refused != nil {
 		return e.refuse(c, in, refused)
 	}
-	if kept != nil {
+	if recorded != nil {
 		c.Response().Header().Set(HeaderReplayed, "true")
-		return e.writeAnswer(c, in, kept)
+		return e.writeClaimedResponse(c, in, recorded)
 	}
-	run := &claimedRun{e: e, in: in, grant: grant, request: q, result: make(chan claimedResult, 1)}
-	// The run outlives the caller: its outcome must be recorded even when
-	// nobody waits for it any more.
+	claimed := &claimedRequest{e: e, in: in, grant: grant, request: q, result: make(chan claimedResult, 1)}
+	// The request continues after its caller disconnects: its outcome must be
+	// recorded all the same.
 	e.wg.Add(1)
 	go func() {
 		defer e.wg.Done()
-		run.do(context.WithoutCancel(q.Context()))
+		claimed.run(context.WithoutCancel(q.Context()))
 	}()
-	return e.awaitRun(c, in, run)
+	return e.awaitClaimed(c, in, claimed)
 }
 
-func (e *Entry) awaitRun(c echo.Context, in *incoming, run *claimedRun) error {
-	timer := time.NewTimer(time.Until(in.deadline) + answerMargin)
+// awaitClaimed writes the result of a claimed request, or a refusal with an unknown
+// outcome if there is none by the deadline.
+func (e *Entry) awaitClaimed(c echo.Context, in *incomingRequest, claimed *claimedRequest) error {
+	timer := time.NewTimer(time.Until(in.deadline) + settleMargin)
 	defer timer.Stop()
 	select {
-	case r := <-run.result:
+	case r := <-claimed.result:
 		if r.refused != nil {
 			return e.refuse(c, in, r.refused)
 		}
-		return e.writeAnswer(c, in, r.answer)
+		return e.writeClaimedResponse(c, in, r.response)
 	case <-timer.C:
 		return e.refuse(c, in, refusal.New(refusal.OutcomeUnknown,
 			"the deadline passed while the request was under way; send it again with the same key to learn its outcome").
@@ -122,34 +125,34 @@
 	}
 }
 
-func (e *Entry) writeAnswer(c echo.Context, in *incoming, a *schema.Answer) error {
+func (e *Entry) writeClaimedResponse(c echo.Context, in *incomingRequest, a *schema.Answer) error {
 	e.cfg.Metrics.Request(in.kind, int(a.GetStatus()))
-	e.cfg.Metrics.FirstByte(in.kind, time.Since(in.began), false)
+	e.cfg.Metrics.FirstByte(in.kind, time.Since(in.received), false)
 	c.Response().Header().Set(routing.HeaderRequestID, in.id)
 	c.Response().Header().Set(routing.HeaderOutcome, refusal.Ran.String())
 	return c.Blob(int(a.GetStatus()), a.GetContentType(), a.GetBody())
 }
 
 type claimedResult struct {
-	answer  *schema.Answer
-	refused *refusal.Refusal
+	response *schema.Answer
+	refused  *refusal.Refusal
 }
 
-// claimedRun is the one run of a claimed request.
-type claimedRun struct {
+// claimedRequest is a claimed request, which is run at most once.
+type claimedRequest struct {
 	e       *Entry
-	in      *incoming
+	in      *incomingRequest
 	grant   *claim.Grant
 	request *http.Request
-	// result receives once.
+	// result receives exactly one value.
 	result chan claimedResult
 }
 
-func (r *claimedRun) do(ctx context.Context) {
+func (r *claimedRequest) run(ctx context.Context) {
 	e, in := r.e, r.in
-	ticket, refused := e.enter(in)
+	ticket, refused := e.enqueue(in)
 	if refused != nil {
-		r.notRun(refused)
+		r.settleNotRun(refused)
 		return
 	}
 	served := false
@@ -157,62 +160,64 @@
 	exclude := map[string]bool{}
 	for {
 		if refused := <-ticket.Decision(); refused != nil {
-			r.notRun(refused)
+			r.settleNotRun(refused)
 			return
 		}
-		if refused := e.heldBack(ctx, in); refused != nil {
-			r.notRun(refused)
+		if refused := e.checkHeldBack(ctx, in); refused != nil {
+			r.settleNotRun(refused)
 			return
 		}
-		chosen, ok := r.pick(exclude)
+		chosen, ok := r.pickServer(exclude)
 		if !ok {
-			refused := r.wait(exclude)
+			refused := r.awaitServer(exclude)
 			if refused != nil {
-				r.notRun(refused)
+				r.settleNotRun(refused)
 				return
 			}
 			ticket.Requeue()
 			continue
 		}
-		proof, answer, err := r.send(ctx, chosen)
-		if proof == refusal.NotRun {
-			// Proved: another server may be tried, under the same claim.
+		outcome, response, err := r.send(ctx, chosen)
+		if outcome == refusal.NotRun {
+			// The server is proved not to have run the request: another one may be
+			// tried under the same claim.
 			e.cfg.Metrics.Retry()
 			exclude[chosen.Server] = true
 			ticket.Requeue()
 			continue
 		}
-		served = answer != nil
-		r.finish(proof, answer, err)
+		served = response != nil
+		r.settle(outcome, response, err)
 		return
 	}
 }
 
-func (r *claimedRun) pick(exclude map[string]bool) (routing.Candidate, bool) {
+func (r *claimedRequest) pickServer(exclude map[string]bool) (routing.Candidate, bool) {
 	a := attempts{e: r.e, in: r.in, exclude: exclude}
-	return a.pick()
+	return a.pickReplica()
 }
 
-// wait goes back to the queue when every server was tried or is full.
-func (r *claimedRun) wait(exclude map[string]bool) *refusal.Refusal {
+// awaitServer waits before the request returns to the queue because every server
+// was tried or is full, or returns a refusal.
+func (r *claimedRequest) awaitServer(exclude map[string]bool) *refusal.Refusal {
 	if len(exclude) > 0 {
 		clear(exclude)
 		if !r.e.budget.TryWithdraw() {
 			return refusal.New(refusal.BackendFailed, "every server refused").WithRetryAfter(time.Second)
 		}
 	}
-	r.e.refresh([]admission.Demand{{Target: r.in.target.name}})
-	if !r.e.pause(fullPause) || time.Now().After(r.in.deadline) {
+	r.e.refreshCapacity([]admission.Demand{{Target: r.in.target.name}})
+	if !r.e.sleep(noReplicaRetryDelay) || time.Now().After(r.in.deadline) {
 		return refusal.New(refusal.DeadlinePassed, "no server was free before the deadline")
 	}
 	return nil
 }
 
-// send makes the one run. Everything but a proof that nothing ran counts as a
-// run that may have happened.
-func (r *claimedRun) send(ctx context.Context, to routing.Candidate) (refusal.Outcome, *schema.Answer, error) {
+// send sends the request to a server. It returns NotRun only if the server is proved
+// not to have run it; the request may have run in every other case.
+func (r *claimedRequest) send(ctx context.Context, to routing.Candidate) (refusal.Outcome, *schema.Answer, error) {
 	e := r.e
-	ctx, cancel := context.WithDeadline(ctx, r.in.deadline.Add(lateGrace))
+	ctx, cancel := context.WithDeadline(ctx, r.in.deadline.Add(lateResponseGrace))
 	defer cancel()
 	ctx, span := e.cfg.Tracer.Start(ctx, "dispatch")
 	defer span.End()
@@ -221,7 +226,7 @@
 	reply, err := e.sender.Send(ctx, call)
 	if err != nil {
 		e.table.RecordResult(time.Now(), to, r.in.target.name, r.in.body, routing.Result{Reported: -1})
-		e.brokeOff(ctx, r.in, to, err)
+		e.reportFailedAttempt(ctx, r.in, to, err)
 		if errors.Is(err, routing.ErrNotRun) {
 			return refusal.NotRun, nil, err
 		}
@@ -232,39 +237,40 @@
 		e.table.RecordResult(time.Now(), to, r.in.target.name, r.in.body, routing.Result{OK: true, Reported: reply.Outstanding()})
 		return refusal.NotRun, nil, nil
 	}
-	body, err := reply.ReadAll(maxAnswerBytes)
+	body, err := reply.ReadAll(maxResponseBytes)
 	e.table.RecordResult(time.Now(), to, r.in.target.name, r.in.body, routing.Result{
 		OK: err == nil, FirstByte: reply.FirstByte(), Reported: reply.Outstanding(),
 	})
 	if err != nil {
-		e.brokeOff(ctx, r.in, to, err)
-		// The server answered, so it ran; the answer is not whole.
+		e.reportFailedAttempt(ctx, r.in, to, err)
+		// The server sent a response, so the request ran; the response is
+		// incomplete.
 		return refusal.Ran, nil, err
 	}
-	e.guard.AttemptCompleted(r.in.subject())
+	e.guard.AttemptCompleted(r.in.keyedRequest())
 	return refusal.Ran, &schema.Answer{
 		Status: uint32(reply.Status()), ContentType: reply.Header().Get("Content-Type"), Body: body,
 	}, nil
 }
 
-func (r *claimedRun) notRun(refused *refusal.Refusal) {
-	r.e.keeper.Settle(r.grant, schema.ClaimOutcome_CLAIM_OUTCOME_NOT_RUN, nil)
+func (r *claimedRequest) settleNotRun(refused *refusal.Refusal) {
+	r.e.claims.Settle(r.grant, schema.ClaimOutcome_CLAIM_OUTCOME_NOT_RUN, nil)
 	r.result <- claimedResult{refused: refused}
 }
 
-// finish records the outcome before the caller is answered, so that a resend
-// after a crash of this entry finds it.
-func (r *claimedRun) finish(proof refusal.Outcome, answer *schema.Answer, err error) {
+// settle records the outcome before the caller receives it, so that a retry after a
+// crash of this entry finds it.
+func (r *claimedRequest) settle(outcome refusal.Outcome, response *schema.Answer, err error) {
 	switch {
-	case answer != nil:
-		r.e.keeper.Settle(r.grant, schema.ClaimOutcome_CLAIM_OUTCOME_DONE, answer)
-		r.result <- claimedResult{answer: answer}
-	case proof == refusal.Ran:
-		r.e.keeper.Settle(r.grant, schema.ClaimOutcome_CLAIM_OUTCOME_DONE, &schema.Answer{Omitted: true})
+	case response != nil:
+		r.e.claims.Settle(r.grant, schema.ClaimOutcome_CLAIM_OUTCOME_DONE, response)
+		r.result <- claimedResult{response: response}
+	case outcome == refusal.Ran:
+		r.e.claims.Settle(r.grant, schema.ClaimOutcome_CLAIM_OUTCOME_DONE, &schema.Answer{Omitted: true})
 		r.result <- claimedResult{refused: refusal.New(refusal.BackendFailed,
 			"the request ran; its answer was cut off: %v", err).WithOutcome(refusal.Ran)}
 	default:
-		r.e.keeper.Settle(r.grant, schema.ClaimOutcome_CLAIM_OUTCOME_UNKNOWN, nil)
+		r.e.claims.Settle(r.grant, schema.ClaimOutcome_CLAIM_OUTCOME_UNKNOWN, nil)
 		r.result <- claimedResult{refused: refusal.New(refusal.OutcomeUnknown,
 			"the connection to the server broke: %v", err).WithOutcome(refusal.Unknown)}
 	}
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -12,18 +12,19 @@
 	"fennelyard/internal/schema"
 )
 
-// statusWait is how long the status waits for the leader before it shows what
-// this entry knows by itself.
-const statusWait = 2 * time.Second
+// statusTimeout bounds the query to the leader; after it the status shows only what
+// this entry knows.
+const statusTimeout = 2 * time.Second
 
 func (e *Entry) status(c echo.Context) error {
 	v := &schema.StatusView{
 		Deployment: e.cfg.Settings.GetDeployment(), Host: e.cfg.Self.GetName(),
 		Leader: e.cfg.Control.Leader(), EntryRevision: e.cfg.Replica.Revision(),
 	}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), statusWait)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), statusTimeout)
 	defer cancel()
-	// The heads and members alone: the records are here already.
+	// The prefix matches no records: only the revisions and members are needed, the
+	// records are replicated here.
 	reply, err := e.cfg.Control.Fetch(ctx, planPrefix+"-")
 	if err != nil {
 		v.Stale = "the control group has no leader that answers this entry"
@@ -35,7 +36,7 @@
 		v.Servers = serverViews(r)
 		v.Models = modelViews(r)
 	})
-	for _, q := range e.gate.Queues() {
+	for _, q := range e.admission.Queues() {
 		v.Queues = append(v.Queues, &schema.QueueView{
 			Target: q.Target, Waiting: uint32(q.Waiting), Running: uint32(q.Running),
 		})
@@ -58,7 +59,7 @@
 	var out []*schema.HostView
 	for _, h := range e.hosts() {
 		out = append(out, &schema.HostView{
-			Name: h.Name, DataCentre: h.DataCentre, State: enumWord(h.State.String(), "HOST_STATE_"),
+			Name: h.Name, DataCentre: h.DataCentre, State: enumName(h.State.String(), "HOST_STATE_"),
 			Control: roles[h.Name], Load: uint32(h.Load), Stopping: h.Stopping,
 		})
 	}
@@ -69,7 +70,7 @@
 	var out []*schema.ServerView
 	for _, s := range r.Servers() {
 		v := &schema.ServerView{
-			Name: s.GetName(), Kind: enumWord(s.GetKind().String(), "SERVER_KIND_"), Incarnation: s.GetIncarnation(),
+			Name: s.GetName(), Kind: enumName(s.GetKind().String(), "SERVER_KIND_"), Incarnation: s.GetIncarnation(),
 			DataCentre: s.GetDataCentre(), Address: s.GetAddress(), State: "serving",
 		}
 		switch {
@@ -87,16 +88,16 @@
 	return out
 }
 
-// modelViews lists the models that have replicas or a lower bound; thousands of
-// idle adapters would hide them.
+// modelViews returns the models that have replicas or a lower bound: a list with
+// thousands of idle adapters would hide them.
 func modelViews(r *ledger.Records) []*schema.ModelView {
 	var out []*schema.ModelView
 	for _, m := range r.Models() {
 		v := &schema.ModelView{
 			Name: m.GetName(), Base: m.GetBase(), MinReplicas: m.GetMinReplicas(), MaxReplicas: m.GetMaxReplicas(),
 		}
-		held := r.ReservationsForTarget(m.GetName())
-		for _, res := range held {
+		reservations := r.ReservationsForTarget(m.GetName())
+		for _, res := range reservations {
 			switch res.GetState() {
 			case schema.ReservationState_RESERVATION_STATE_LOADED:
 				v.Loaded++
@@ -106,7 +107,7 @@
 				v.Loading++
 			}
 		}
-		if len(held) > 0 || m.GetMinReplicas() > 0 {
+		if len(reservations) > 0 || m.GetMinReplicas() > 0 {
 			out = append(out, v)
 		}
 	}
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -20,28 +20,28 @@
 
 const (
 	maxEventBytes = 1 << 20
-	// maxResumes bounds how often one stream is continued.
+	// maxResumes bounds the number of times that one stream is resumed.
 	maxResumes = 3
-	// streamSilence is how long an open stream may bring nothing. Engines send
-	// tokens or comments more often.
-	streamSilence = 15 * time.Second
+	// streamSilenceTimeout bounds the time without data on an open stream. Engines
+	// send tokens or comments more often.
+	streamSilenceTimeout = 15 * time.Second
 )
 
 var (
 	errEventTooLarge = errors.New("a stream event is too large")
-	doneMark         = []byte("[DONE]")
+	doneMarker       = []byte("[DONE]")
 )
 
-// event is one server-sent event with its closing blank line.
+// event is one server-sent event with the blank line that ends it.
 type event struct {
 	raw []byte
-	// id is the number in its id field, or 0.
+	// id is the number in the id field, or 0.
 	id   uint64
 	data []byte
 }
 
-// readEvent reads one whole event; half an event is an error, so that no caller
-// ever sees a part of one.
+// readEvent reads one complete event. A partial event is an error, so that no caller
+// receives one.
 func readEvent(r *bufio.Reader) (event, error) {
 	var ev event
 	for {
@@ -71,47 +71,47 @@
 	}
 }
 
-// passStream passes events on as they come. After the first one there is no
-// other attempt; an engine that numbers its events is asked to resume.
-func (a *attempts) passStream(ctx context.Context, c echo.Context, chosen routing.Candidate, call routing.Call,
+// forwardStream forwards events as they arrive. After the first event there is no
+// other attempt; a stream with numbered events is resumed at the same server.
+func (a *attempts) forwardStream(ctx context.Context, c echo.Context, chosen routing.Candidate, call routing.Call,
 	reply *routing.Reply,
 ) (finished, served bool, r *refusal.Refusal) {
-	s := &streamCopy{a: a, c: c}
-	err := s.copy(ctx, reply)
+	s := &streamForwarder{a: a, c: c}
+	err := s.forward(ctx, reply)
 	if err != nil {
-		a.e.brokeOff(ctx, a.in, chosen, err)
+		a.e.reportFailedAttempt(ctx, a.in, chosen, err)
 	}
 	for resumes := 0; err != nil && s.lastID > 0 && resumes < maxResumes && ctx.Err() == nil; resumes++ {
 		err = s.resume(ctx, call)
 	}
-	a.done(chosen, routing.Result{
+	a.recordResult(chosen, routing.Result{
 		OK: err == nil || ctx.Err() != nil, FirstByte: reply.FirstByte(), Reported: reply.Outstanding(),
 	})
 	if err == nil {
-		a.e.guard.AttemptCompleted(a.in.subject())
+		a.e.guard.AttemptCompleted(a.in.keyedRequest())
 		return true, true, nil
 	}
-	if !s.began {
-		return a.failed(ctx, chosen, err)
+	if !s.started {
+		return a.handleFailure(ctx, chosen, err)
 	}
-	s.cut(err)
+	s.writeError(err)
 	return true, false, nil
 }
 
-// streamCopy copies one answer's events to the caller.
-type streamCopy struct {
-	a     *attempts
-	c     echo.Context
-	began bool
-	// lastID is the number of the last event passed on; events up to it are
-	// dropped after a resume.
+// streamForwarder forwards the events of one response to the caller.
+type streamForwarder struct {
+	a       *attempts
+	c       echo.Context
+	started bool
+	// lastID is the number of the last event forwarded; after a resume, events up
+	// to it are dropped.
 	lastID uint64
 }
 
-// copy returns nil only after the end mark. A connection that closes cleanly
-// before it is a cut stream all the same.
-func (s *streamCopy) copy(ctx context.Context, reply *routing.Reply) error {
-	silence := time.AfterFunc(streamSilence, reply.Close)
+// forward forwards events and returns nil only after the end marker. A connection
+// that closes regularly before it is an interrupted stream.
+func (s *streamForwarder) forward(ctx context.Context, reply *routing.Reply) error {
+	silence := time.AfterFunc(streamSilenceTimeout, reply.Close)
 	defer silence.Stop()
 	r := bufio.NewReaderSize(reply.Body(), maxEventBytes)
 	for {
@@ -122,38 +122,38 @@
 			}
 			return errors.Newf("read stream: %w", err)
 		}
-		silence.Reset(streamSilence)
+		silence.Reset(streamSilenceTimeout)
 		if ev.id > 0 && ev.id <= s.lastID {
 			continue
 		}
 		if ctx.Err() != nil {
 			return errors.Newf("pass stream: %w", ctx.Err())
 		}
-		s.pass(reply, ev)
-		if bytes.Equal(ev.data, doneMark) {
+		s.forwardEvent(reply, ev)
+		if bytes.Equal(ev.data, doneMarker) {
 			return nil
 		}
 	}
 }
 
-func (s *streamCopy) pass(reply *routing.Reply, ev event) {
+func (s *streamForwarder) forwardEvent(reply *routing.Reply, ev event) {
 	w := s.c.Response()
-	if !s.began {
-		s.began = true
+	if !s.started {
+		s.started = true
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.Header().Set("Cache-Control", "no-store")
 		w.Header().Set(routing.HeaderRequestID, s.a.in.id)
 		w.WriteHeader(reply.Status())
-		s.a.e.cfg.Metrics.FirstByte(s.a.in.kind, time.Since(s.a.in.began), s.a.cold)
+		s.a.e.cfg.Metrics.FirstByte(s.a.in.kind, time.Since(s.a.in.received), s.a.cold)
 	}
 	s.lastID = max(s.lastID, ev.id)
-	// A caller that went away ends the context; a write error tells no more.
+	// The context ends when the caller disconnects; the write error adds nothing.
 	_, _ = w.Write(ev.raw)
 	w.Flush()
 }
 
-// resume asks the same server for the events after the last one passed on.
-func (s *streamCopy) resume(ctx context.Context, call routing.Call) error {
+// resume requests the events after the last one forwarded from the same server.
+func (s *streamForwarder) resume(ctx context.Context, call routing.Call) error {
 	call.Header = call.Header.Clone()
 	call.Header.Set("Last-Event-ID", strconv.FormatUint(s.lastID, 10))
 	call.NewConnection = true
@@ -165,16 +165,16 @@
 	if reply.Status() != http.StatusOK || reply.NotRun() {
 		return errors.Newf("resume: status %d", reply.Status())
 	}
-	return s.copy(ctx, reply)
+	return s.forward(ctx, reply)
 }
 
-// cut ends a stream that cannot be completed by an explicit error: a clean end
-// would pass for a whole answer.
-func (s *streamCopy) cut(err error) {
+// writeError ends a stream that cannot be completed with an error event: without it
+// the caller would take the response for complete.
+func (s *streamForwarder) writeError(err error) {
 	r := refusal.New(refusal.StreamCut, "the stream broke: %v", err).WithOutcome(refusal.Unknown)
 	s.a.e.cfg.Metrics.Refusal(r.Code().String(), r.Outcome().String())
-	data, merr := protojson.Marshal(r.ErrorReply(s.a.in.id))
-	if merr != nil {
+	data, marshalErr := protojson.Marshal(r.ErrorReply(s.a.in.id))
+	if marshalErr != nil {
 		return
 	}
 	w := s.c.Response()
--- a/internal/entry/suspects.go
+++ b/internal/entry/suspects.go
@@ -15,90 +15,93 @@
 )
 
 const (
-	// suspectWait is how long the group may take to record suspects, and suspectRetry the
-	// time between two tries.
-	suspectWait  = 2 * time.Second
-	suspectRetry = time.Second
+	// proposeTimeout bounds a proposal of suspects to the control group,
+	// proposeRetryInterval is the time until the next attempt.
+	proposeTimeout       = 2 * time.Second
+	proposeRetryInterval = time.Second
 )
 
-// subject is a request as the guard knows it.
-func (in *incoming) subject() *quarantine.KeyedRequest {
-	if in.guarded == nil {
-		in.guarded = quarantine.NewKeyedRequest(quarantine.Request{
+// keyedRequest returns the request as the guard identifies it.
+func (in *incomingRequest) keyedRequest() *quarantine.KeyedRequest {
+	if in.keyed == nil {
+		in.keyed = quarantine.NewKeyedRequest(quarantine.Request{
 			Method: in.method, Host: in.target.name, Target: in.path, Caller: in.customer, Body: in.body,
 		})
 	}
-	return in.guarded
+	return in.keyed
 }
 
-// heldBack refuses a request that is known to end the servers that run it, nil: it is not. It
-// waits for what becomes known of the servers at which it has just broken off.
-func (e *Entry) heldBack(ctx context.Context, in *incoming) *refusal.Refusal {
-	e.guard.AwaitProbes(ctx, in.subject())
-	left, held := e.guard.HeldBack(in.subject())
+// checkHeldBack refuses a request that is known to end the servers that run it, and
+// returns nil for any other. It waits for the probes of servers at which an attempt
+// of the request has just failed.
+func (e *Entry) checkHeldBack(ctx context.Context, in *incomingRequest) *refusal.Refusal {
+	e.guard.AwaitProbes(ctx, in.keyedRequest())
+	left, held := e.guard.HeldBack(in.keyedRequest())
 	if !held {
 		return nil
 	}
-	return refusal.New(refusal.HeldBack, "servers ended that ran this request before (%s)", in.subject().ComputedKey()).WithRetryAfter(left)
+	return refusal.New(refusal.HeldBack, "servers ended that ran this request before (%s)", in.keyedRequest().ComputedKey()).WithRetryAfter(left)
 }
 
-// brokeOff tells the guard where an attempt broke off. A server that leaves ends anyhow,
-// whatever it runs.
-func (e *Entry) brokeOff(ctx context.Context, in *incoming, at routing.Candidate, err error) {
+// reportFailedAttempt reports a server at which an attempt failed to the guard. A
+// leaving server is not reported: it ends whatever it runs.
+func (e *Entry) reportFailedAttempt(ctx context.Context, in *incomingRequest, at routing.Candidate, err error) {
 	if ctx.Err() != nil || errors.Is(err, routing.ErrNotRun) || errors.Is(err, routing.ErrSilent) {
 		return
 	}
-	works := false
-	e.cfg.Replica.View(func(r *ledger.Records) { works = e.takesWork(r.Server(at.Server), at.Incarnation) })
-	if works {
+	accepts := false
+	e.cfg.Replica.View(func(r *ledger.Records) { accepts = e.acceptsRequests(r.Server(at.Server), at.Incarnation) })
+	if accepts {
 		server := incarnation.Name{Server: at.Server, StartMs: int64(at.Incarnation)}
-		e.guard.AttemptFailed(in.subject(), server.String(), at.Address)
+		e.guard.AttemptFailed(in.keyedRequest(), server.String(), at.Address)
 	}
 }
 
-// recordSoon has recorded, by the group, what the guard has found.
-func (e *Entry) recordSoon() {
+// requestRecording triggers recordSuspects.
+func (e *Entry) requestRecording() {
 	select {
-	case e.suspects <- struct{}{}:
+	case e.suspectsDue <- struct{}{}:
 	default:
 	}
 }
 
-// recordSuspects has the group record what this entry itself finds, so that every entry
-// knows it and it outlasts them all. Until that succeeds this entry acts on it alone.
+// recordSuspects has the control group record the suspects that this entry finds, so
+// that every entry knows them and they survive a restart of all entries. Until that
+// succeeds, only this entry holds these requests back.
 func (e *Entry) recordSuspects() {
 	for recorded := uint64(0); ; {
 		select {
 		case <-e.stop:
 			return
-		case <-e.suspects:
+		case <-e.suspectsDue:
 			recorded = e.recordSince(recorded)
 		}
 	}
 }
 
-// recordSince has all recorded that has changed since a change of the book. It returns up
-// to which change that is; less than all only where the entry stops.
+// recordSince has the control group record the suspects changed after a change number
+// of the suspect set. It returns the number of the last change recorded, which is
+// not the latest only if the entry stops.
 func (e *Entry) recordSince(change uint64) uint64 {
 	for {
 		list, to := e.guard.Suspects().Since(change, quarantine.PartNoted)
 		if len(list) == 0 {
 			return to
 		}
-		err := e.propose(list)
+		err := e.proposeSuspects(list)
 		if err == nil {
 			change = to
 			continue
 		}
 		e.cfg.Log.Info("suspects not recorded", "count", len(list), "error", err.Error())
-		if !e.pause(suspectRetry) {
+		if !e.sleep(proposeRetryInterval) {
 			return change
 		}
 	}
 }
 
-func (e *Entry) propose(list []*schema.Suspect) error {
-	ctx, cancel := context.WithTimeout(context.Background(), suspectWait)
+func (e *Entry) proposeSuspects(list []*schema.Suspect) error {
+	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
 	q, now := &schema.RememberSuspects{}, time.Now().UnixMilli()
 	for _, s := range list {
@@ -111,8 +114,8 @@
 	return nil
 }
 
-// takeSuspects takes in what the group has recorded.
-func (e *Entry) takeSuspects() {
+// mergeRecordedSuspects merges the suspects that the control group has recorded.
+func (e *Entry) mergeRecordedSuspects() {
 	var list []*schema.Suspect
 	e.cfg.Replica.View(func(r *ledger.Records) { list = r.Suspects(time.Now()) })
 	e.guard.Suspects().Merge(list, true)
