--- a/internal/routing/budget.go
+++ b/internal/routing/budget.go
@@ -3,36 +3,36 @@
 import "sync"
 
 const (
-	// Each request earns budgetPerRequest of a retry: when a whole pool fails,
-	// retries add at most that share to its load.
-	budgetPerRequest = 0.1
-	maxBudget        = 20
+	// depositPerRequest is the fraction of a retry that each request adds: if all
+	// replicas fail, retries add at most this fraction to the load.
+	depositPerRequest = 0.1
+	maxBalance        = 20
 )
 
-// RetryBudget bounds the retries of an entry. It is safe from any goroutine.
+// RetryBudget limits the retries of an entry. It is safe for concurrent use.
 type RetryBudget struct {
 	mu sync.Mutex
-	// left is between 0 and maxBudget.
-	left float64
+	// balance is the number of retries left, from 0 to maxBalance.
+	balance float64
 }
 
 // NewRetryBudget returns a full budget.
-func NewRetryBudget() *RetryBudget { return &RetryBudget{left: maxBudget} }
+func NewRetryBudget() *RetryBudget { return &RetryBudget{balance: maxBalance} }
 
-// Deposit adds the share of one request.
+// Deposit adds depositPerRequest to the budget.
 func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = min(b.left+budgetPerRequest, maxBudget)
+	b.balance = min(b.balance+depositPerRequest, maxBalance)
 }
 
-// TryWithdraw takes one retry, or returns false when none is left.
+// TryWithdraw takes one retry, or returns false if none is left.
 func (b *RetryBudget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < 1 {
+	if b.balance < 1 {
 		return false
 	}
-	b.left--
+	b.balance--
 	return true
 }
--- a/internal/routing/choice.go
+++ b/internal/routing/choice.go
@@ -1,4 +1,4 @@
-// Package routing chooses a replica for a request and sends the request there.
+// Package routing selects a replica for a request and sends the request to it.
 package routing
 
 import (
@@ -8,7 +8,7 @@
 
 //go:generate go tool stringer -type=Policy -trimprefix=Policy
 
-// Policy is a way to choose among replicas.
+// Policy is a load balancing policy.
 type Policy int
 
 // The policies. PolicyWeighted is the one in use; the others are baselines.
@@ -20,14 +20,17 @@
 )
 
 const (
-	// sampleSize is how many candidates are compared: beyond that the load
-	// spreads almost as well as with all, and no scan is needed.
+	// sampleSize is the number of candidates compared: with this many the load
+	// spreads almost as well as with all, and no full scan is needed.
 	sampleSize = 16
-	// reportHalfLife is the age at which a report of others' work counts half.
+	// reportHalfLife is the age at which a server's reported requests of other
+	// entries count half.
 	reportHalfLife = 2 * time.Second
-	// nearPenalty is the price of another data centre, in outstanding requests.
-	nearPenalty = 0.5
-	// prefixBonus is the worth of a likely cached prefix, in outstanding requests.
+	// crossDataCentrePenalty is the cost of another data centre, in outstanding
+	// requests.
+	crossDataCentrePenalty = 0.5
+	// prefixBonus is the benefit of a probably cached prefix, in outstanding
+	// requests.
 	prefixBonus = 2.0
 )
 
@@ -40,80 +43,82 @@
 	SameDataCentre bool
 	// Outstanding counts this entry's own requests at the server.
 	Outstanding int
-	// Reported is the server's last word on all its requests, minus this
-	// entry's share at that time; ReportAge is its age.
+	// Reported is the number of requests that the server last reported, minus
+	// this entry's requests at that time; ReportAge is the age of the report.
 	Reported  int
 	ReportAge time.Duration
-	// PrefixMatch is true when the server answered a request with the same prefix.
+	// PrefixMatch is true if the server was the last to serve a request with the
+	// same prefix.
 	PrefixMatch bool
-	// LatencyRatio is the server's first-byte time over that of its peers; 1 or 0
-	// when unknown.
+	// LatencyRatio is the server's time to first byte divided by that of its
+	// peers; 1 or 0 if unknown.
 	LatencyRatio float64
 }
 
-// Choose returns the index of the chosen candidate among those with less than
+// Choose returns the index of the selected candidate among those with less than
 // limit outstanding requests, or -1. It is a pure function of its arguments:
-// random returns a number from 0 to below n, and turn counts the choices.
+// random returns a number in [0, n), and turn counts the selections.
 func Choose(p Policy, candidates []Candidate, limit int, turn uint64, random func(n int) int) int {
-	open := make([]int, 0, len(candidates))
+	available := make([]int, 0, len(candidates))
 	for i, c := range candidates {
 		if c.Outstanding < limit {
-			open = append(open, i)
+			available = append(available, i)
 		}
 	}
-	if len(open) == 0 {
+	if len(available) == 0 {
 		return -1
 	}
 	switch p {
 	case PolicyRandom:
-		return open[random(len(open))]
+		return available[random(len(available))]
 	case PolicyRoundRobin:
-		return open[turn%uint64(len(open))]
+		return available[turn%uint64(len(available))]
 	case PolicyLeastOutstanding:
-		return cheapest(candidates, open, func(c Candidate) float64 { return float64(c.Outstanding) })
+		return lowestCost(candidates, available, func(c Candidate) float64 { return float64(c.Outstanding) })
 	default:
-		return cheapest(candidates, sample(candidates, open, random), cost)
+		return lowestCost(candidates, sampleCandidates(candidates, available, random), cost)
 	}
 }
 
-// sample picks the candidates to compare, in random order: entries that see the
-// same picture, an idle one above all, would otherwise all choose the first of
-// equals. A candidate with a cached prefix is always compared.
-func sample(candidates []Candidate, open []int, random func(n int) int) []int {
-	size := min(sampleSize, len(open))
-	picked := make([]int, 0, size+1)
+// sampleCandidates returns the indexes of the candidates to compare, in random
+// order: entries with the same view of the servers, in particular idle entries,
+// would otherwise all select the first of several equal candidates. A candidate
+// with a prefix match is always included.
+func sampleCandidates(candidates []Candidate, available []int, random func(n int) int) []int {
+	size := min(sampleSize, len(available))
+	sampled := make([]int, 0, size+1)
 	for k := range size {
-		j := k + random(len(open)-k)
-		open[k], open[j] = open[j], open[k]
-		picked = append(picked, open[k])
+		j := k + random(len(available)-k)
+		available[k], available[j] = available[j], available[k]
+		sampled = append(sampled, available[k])
 	}
-	for _, i := range open[size:] {
+	for _, i := range available[size:] {
 		if candidates[i].PrefixMatch {
-			return append(picked, i)
+			return append(sampled, i)
 		}
 	}
-	return picked
+	return sampled
 }
 
-func cheapest(candidates []Candidate, among []int, price func(Candidate) float64) int {
-	best := among[0]
-	for _, i := range among[1:] {
-		if price(candidates[i]) < price(candidates[best]) {
+func lowestCost(candidates []Candidate, indexes []int, costOf func(Candidate) float64) int {
+	best := indexes[0]
+	for _, i := range indexes[1:] {
+		if costOf(candidates[i]) < costOf(candidates[best]) {
 			best = i
 		}
 	}
 	return best
 }
 
-// cost is the expected work before a new request, in outstanding requests.
+// cost returns the expected work ahead of a new request, in outstanding requests.
 func cost(c Candidate) float64 {
-	fresh := math.Exp2(-float64(c.ReportAge) / float64(reportHalfLife))
-	work := float64(c.Outstanding) + float64(c.Reported)*fresh
+	reportWeight := math.Exp2(-float64(c.ReportAge) / float64(reportHalfLife))
+	work := float64(c.Outstanding) + float64(c.Reported)*reportWeight
 	if c.LatencyRatio > 1 {
 		work = (work + 1) * c.LatencyRatio
 	}
 	if !c.SameDataCentre {
-		work += nearPenalty
+		work += crossDataCentrePenalty
 	}
 	if c.PrefixMatch {
 		work -= prefixBonus
--- a/internal/routing/sender.go
+++ b/internal/routing/sender.go
@@ -18,19 +18,19 @@
 
 // The headers between an entry and a backend server.
 const (
-	// HeaderRequestID names a request; a server that knows the header sends it
-	// back, so that an answer to another request is noticed.
+	// HeaderRequestID identifies a request. A server that knows the header returns
+	// it, so that a response to another request is detected.
 	HeaderRequestID = "Fennelyard-Request-Id"
-	// HeaderDeadline is the time left for the request, in milliseconds.
+	// HeaderDeadline is the time until the request's deadline, in milliseconds.
 	HeaderDeadline = "Fennelyard-Deadline-Ms"
-	// HeaderOutcome on an answer says not-run when the server did not run the
+	// HeaderOutcome in a response is not-run if the server did not run the
 	// request.
 	HeaderOutcome = "Fennelyard-Outcome"
-	// HeaderPriority is the customer's priority; higher goes first.
+	// HeaderPriority is the customer's priority; higher is served first.
 	HeaderPriority = "Fennelyard-Priority"
-	// HeaderOutstanding on an answer is the number of requests at the server.
+	// HeaderOutstanding in a response is the number of requests at the server.
 	HeaderOutstanding = "Fennelyard-Outstanding"
-	// HeaderCustomer names the customer.
+	// HeaderCustomer is the name of the customer.
 	HeaderCustomer = "Fennelyard-Customer"
 
 	outcomeNotRun = "not-run"
@@ -38,23 +38,23 @@
 
 const (
 	connectTimeout = time.Second
-	// A pooled connection is trusted only this long after something came back
-	// on it: something between the ends may have lost track of it since.
-	trustIdle         = 2 * time.Second
-	keepAliveIdle     = 2 * time.Second
-	keepAliveInterval = time.Second
-	keepAliveCount    = 3
-	poolPerServer     = 64
+	// idleConnTimeout is the time after which an idle connection is closed: a
+	// middlebox may have dropped its state of the connection in the meantime.
+	idleConnTimeout       = 2 * time.Second
+	keepAliveIdle         = 2 * time.Second
+	keepAliveInterval     = time.Second
+	keepAliveCount        = 3
+	maxIdleConnsPerServer = 64
 )
 
-// Errors of a call. ErrNotRun is wrapped into those that prove that the server
-// cannot have run the request.
+// Errors of a call. An error wraps ErrNotRun if the server is proved not to have run
+// the request.
 var (
-	ErrNotRun     = errors.New("the request did not reach the server")
-	ErrMisrouted  = errors.New("the answer belongs to another request")
-	ErrSilent     = errors.New("the connection went silent")
-	ErrTooLarge   = errors.New("the answer is too large")
-	ErrIncomplete = errors.New("the answer is incomplete")
+	ErrNotRun             = errors.New("the request did not reach the server")
+	ErrMismatchedResponse = errors.New("the answer belongs to another request")
+	ErrSilent             = errors.New("the connection went silent")
+	ErrTooLarge           = errors.New("the answer is too large")
+	ErrIncomplete         = errors.New("the answer is incomplete")
 )
 
 // Call is one request to a backend server.
@@ -65,31 +65,33 @@
 	Header    http.Header
 	Body      []byte
 	RequestID string
-	// NewConnection opens a connection for this call alone: for requests that must not
-	// run twice.
+	// NewConnection opens a connection for this call only: required for requests
+	// that must not run twice.
 	NewConnection bool
-	// SilenceTimeout is how long a reused connection may be silent before the call
-	// is given up with ErrSilent; 0 means until the context ends.
+	// SilenceTimeout is the time without a response on a reused connection after
+	// which the call fails with ErrSilent; 0 means no timeout.
 	SilenceTimeout time.Duration
 }
 
-// Sender sends calls over pooled connections. It is safe from any goroutine.
+// Sender sends calls over pooled connections. It is safe for concurrent use.
 type Sender struct {
-	pooled *http.Client
-	fresh  *http.Client
+	pooled   *http.Client
+	unpooled *http.Client
 }
 
-// NewSender returns a sender with empty pools.
+// NewSender returns a Sender with empty connection pools.
 func NewSender() *Sender {
 	return &Sender{
-		pooled: &http.Client{Transport: newTransport(false), CheckRedirect: keepRedirect},
-		fresh:  &http.Client{Transport: newTransport(true), CheckRedirect: keepRedirect},
+		pooled:   &http.Client{Transport: newTransport(false), CheckRedirect: noRedirects},
+		unpooled: &http.Client{Transport: newTransport(true), CheckRedirect: noRedirects},
 	}
 }
 
-func keepRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+func noRedirects(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-func newTransport(fresh bool) *http.Transport {
+// newTransport returns a transport that reuses connections or, if unpooled is true,
+// opens one for each request and counts the bytes written to it.
+func newTransport(unpooled bool) *http.Transport {
 	d := &net.Dialer{
 		Timeout: connectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
@@ -102,59 +104,59 @@
 			if err != nil {
 				return nil, errors.Newf("connect: %v: %w", err, ErrNotRun)
 			}
-			if counter, ok := ctx.Value(counterKey{}).(*atomic.Int64); ok && fresh {
+			if counter, ok := ctx.Value(writtenBytesKey{}).(*atomic.Int64); ok && unpooled {
 				return &countingConn{Conn: conn, written: counter}, nil
 			}
 			return conn, nil
 		},
-		DisableKeepAlives:   fresh,
+		DisableKeepAlives:   unpooled,
 		DisableCompression:  true,
-		IdleConnTimeout:     trustIdle,
-		MaxIdleConnsPerHost: poolPerServer,
+		IdleConnTimeout:     idleConnTimeout,
+		MaxIdleConnsPerHost: maxIdleConnsPerServer,
 	}
 }
 
-type counterKey struct{}
+type writtenBytesKey struct{}
 
-// countingConn counts what was handed to the kernel. Before the first byte the
-// server cannot have run anything.
+// countingConn counts the bytes passed to the kernel. Before the first byte the
+// server cannot have run the request.
 type countingConn struct {
 	net.Conn
 	written *atomic.Int64
 }
 
 func (c *countingConn) Write(b []byte) (int, error) {
-	// Counted before the write: a write that fails may still have sent bytes.
+	// Counted before the write: a write that fails may have sent some bytes.
 	c.written.Add(int64(len(b)))
 	return c.Conn.Write(b)
 }
 
-// Reply is the head of an answer with its body still to be read.
+// Reply is a response whose header was received and whose body is still to be read.
 type Reply struct {
 	status int
 	header http.Header
 	body   io.ReadCloser
 	cancel context.CancelFunc
-	// firstByte is the time from the call to the answer's head.
+	// firstByte is the time from the call to the response header.
 	firstByte time.Duration
 }
 
 // Status returns the HTTP status.
 func (r *Reply) Status() int { return r.status }
 
-// Header returns the answer's header.
+// Header returns the response header.
 func (r *Reply) Header() http.Header { return r.header }
 
-// Body returns the answer's body.
+// Body returns the response body.
 func (r *Reply) Body() io.Reader { return r.body }
 
-// FirstByte returns the time to the answer's head.
+// FirstByte returns the time from the call to the response header.
 func (r *Reply) FirstByte() time.Duration { return r.firstByte }
 
-// NotRun reports whether the server itself said that it did not run the request.
+// NotRun reports whether the server declared that it did not run the request.
 func (r *Reply) NotRun() bool { return r.header.Get(HeaderOutcome) == outcomeNotRun }
 
-// Outstanding returns the server's own count of requests, or -1.
+// Outstanding returns the number of requests that the server reports, or -1.
 func (r *Reply) Outstanding() int {
 	n, err := strconv.Atoi(r.header.Get(HeaderOutstanding))
 	if err != nil || n < 0 {
@@ -163,14 +165,15 @@
 	return n
 }
 
-// Close frees the connection.
+// Close cancels the call and closes the body.
 func (r *Reply) Close() {
 	r.cancel()
 	_ = r.body.Close()
 }
 
-// ReadAll reads a whole body of at most limit bytes. A body that ends early or
-// is longer is an error: a truncated answer must not pass as whole.
+// ReadAll reads a body of at most limit bytes. A body that ends early is an error
+// that wraps ErrIncomplete, a longer one an error that wraps ErrTooLarge: a
+// truncated response must not be taken for a complete one.
 func (r *Reply) ReadAll(limit int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(r.body, limit+1))
 	if err != nil {
@@ -182,21 +185,21 @@
 	return data, nil
 }
 
-// Send makes a call and returns the head of its answer. An error that wraps
-// ErrNotRun proves that the server did not run it.
+// Send makes a call and returns its response once the header is received. An error
+// that wraps ErrNotRun proves that the server did not run the request.
 func (s *Sender) Send(ctx context.Context, c Call) (*Reply, error) {
-	began := time.Now()
+	start := time.Now()
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := func() { cancel(context.Canceled) }
 	var written atomic.Int64
-	ctx = context.WithValue(ctx, counterKey{}, &written)
+	ctx = context.WithValue(ctx, writtenBytesKey{}, &written)
 	client := s.pooled
 	if c.NewConnection {
-		client = s.fresh
+		client = s.unpooled
 	}
-	watch := newSilenceWatch(c.SilenceTimeout, func() { cancel(ErrSilent) })
-	defer watch.stop()
-	q, err := newRequest(httptrace.WithClientTrace(ctx, watch.trace()), c)
+	silence := newSilenceTimer(c.SilenceTimeout, func() { cancel(ErrSilent) })
+	defer silence.stop()
+	q, err := newRequest(httptrace.WithClientTrace(ctx, silence.trace()), c)
 	if err != nil {
 		stop()
 		return nil, errors.Newf("%v: %w", err, ErrNotRun)
@@ -206,24 +209,26 @@
 		cause := context.Cause(ctx)
 		stop()
 		if errors.Is(cause, ErrSilent) {
-			// Its siblings of the same age may have been lost with it.
+			// Other idle connections of the same age may be lost too.
 			client.CloseIdleConnections()
 		}
-		return nil, explain(err, cause, c, written.Load())
+		return nil, callError(err, cause, c, written.Load())
 	}
 	if id := resp.Header.Get(HeaderRequestID); id != "" && id != c.RequestID {
 		stop()
 		_ = resp.Body.Close()
 		client.CloseIdleConnections()
-		return nil, errors.Newf("asked %s, answered %s: %w", c.RequestID, id, ErrMisrouted)
+		return nil, errors.Newf("asked %s, answered %s: %w", c.RequestID, id, ErrMismatchedResponse)
 	}
 	return &Reply{
 		status: resp.StatusCode, header: resp.Header, body: resp.Body,
-		cancel: stop, firstByte: time.Since(began),
+		cancel: stop, firstByte: time.Since(start),
 	}, nil
 }
 
-func explain(err, cause error, c Call, written int64) error {
+// callError wraps the error of a call with its address, and with ErrNotRun or
+// ErrSilent where that applies. written is the number of bytes written.
+func callError(err, cause error, c Call, written int64) error {
 	switch {
 	case errors.Is(err, ErrNotRun):
 		return errors.Newf("call %s: %w", c.Address, err)
@@ -241,7 +246,7 @@
 		return nil, errors.Newf("make request: %w", err)
 	}
 	for k, v := range c.Header {
-		if !isHopHeader(k) {
+		if !isHopByHopHeader(k) {
 			q.Header[k] = v
 		}
 	}
@@ -250,15 +255,16 @@
 		q.Header.Set(HeaderDeadline, strconv.FormatInt(time.Until(deadline).Milliseconds(), 10))
 	}
 	if c.NewConnection {
-		// The library would send a request without a body again by itself when
-		// a connection breaks; a body that cannot be had again forbids it.
+		// net/http would retry a request without a body when its connection
+		// breaks; a body that cannot be read again prevents that.
 		q.GetBody = nil
 	}
 	return q, nil
 }
 
-// isHopHeader names the headers that belong to one connection.
-func isHopHeader(name string) bool {
+// isHopByHopHeader reports whether a header field applies to a single connection and
+// must not be forwarded.
+func isHopByHopHeader(name string) bool {
 	switch strings.ToLower(name) {
 	case "connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "te", "trailer",
 		"transfer-encoding", "upgrade", "proxy-connection", "content-length", "accept-encoding":
@@ -267,45 +273,45 @@
 	return false
 }
 
-// silenceWatch ends a call on a reused connection that stays silent: the caller
-// sees a hang, because the connection was lost between the ends while both
-// believe in it. A fresh connection has proved itself by its handshake.
-type silenceWatch struct {
-	patience time.Duration
-	silent   func()
-	mu       sync.Mutex
+// silenceTimer ends a call on a reused connection that stays silent: the connection
+// may have been lost on the path while both ends still consider it open, and the
+// call would hang. A new connection is proved to work by its handshake.
+type silenceTimer struct {
+	timeout   time.Duration
+	onTimeout func()
+	mu        sync.Mutex
 	// timer is nil until a reused connection is in use; guarded by mu.
 	timer *time.Timer
 }
 
-func newSilenceWatch(patience time.Duration, silent func()) *silenceWatch {
-	return &silenceWatch{patience: patience, silent: silent}
+func newSilenceTimer(timeout time.Duration, onTimeout func()) *silenceTimer {
+	return &silenceTimer{timeout: timeout, onTimeout: onTimeout}
 }
 
-func (w *silenceWatch) trace() *httptrace.ClientTrace {
+func (s *silenceTimer) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
-			if !info.Reused || w.patience == 0 {
+			if !info.Reused || s.timeout == 0 {
 				return
 			}
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			w.timer = time.AfterFunc(w.patience, w.silent)
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.timer = time.AfterFunc(s.timeout, s.onTimeout)
 		},
-		GotFirstResponseByte: w.stop,
+		GotFirstResponseByte: s.stop,
 	}
 }
 
-func (w *silenceWatch) stop() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.timer != nil {
-		w.timer.Stop()
+func (s *silenceTimer) stop() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.timer != nil {
+		s.timer.Stop()
 	}
 }
 
 // Close closes the idle connections.
 func (s *Sender) Close() {
 	s.pooled.CloseIdleConnections()
-	s.fresh.CloseIdleConnections()
+	s.unpooled.CloseIdleConnections()
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -7,19 +7,22 @@
 )
 
 const (
-	// failuresToEject is how many failures in a row take a server out.
-	failuresToEject = 3
-	firstEjection   = time.Second
-	maxEjection     = 30 * time.Second
-	// At most one in ejectShare of a target's servers is out at a time: when
-	// most of them fail, the fault is likely elsewhere, and taking them out
-	// would bury the rest.
-	ejectShare = 3
-	// prefixBytes of a prompt decide whether a cached prefix is likely.
-	prefixBytes = 256
-	prefixLimit = 4096
-	// smoothing is the weight of a new measurement in a running mean.
-	smoothing = 0.2
+	// consecutiveFailuresToEject is the number of consecutive failures after which
+	// a server is ejected.
+	consecutiveFailuresToEject = 3
+	firstEjection              = time.Second
+	maxEjection                = 30 * time.Second
+	// At most one in maxEjectedDivisor of a target's servers is ejected at a time:
+	// if most of them fail, the cause is probably elsewhere, and ejecting them
+	// would overload the rest.
+	maxEjectedDivisor = 3
+	// hashedPrefixBytes is the length of the prompt prefix that determines whether a
+	// cached prefix is likely.
+	hashedPrefixBytes = 256
+	maxPrefixes       = 4096
+	// smoothingFactor is the weight of a new sample in the exponential moving
+	// average.
+	smoothingFactor = 0.2
 )
 
 type serverKey struct {
@@ -32,23 +35,24 @@
 	reported    int
 	reportedAt  time.Time
 	failures    int
-	// ejectedUntil is when a probe may be tried; ejections doubles the time.
+	// ejectedUntil is the time after which a request may probe the server, zero if
+	// it is not ejected. ejections counts the ejections since the last success;
+	// each doubles the duration.
 	ejectedUntil time.Time
 	ejections    int
-	// probing is set while the one request that may let the server back in is
-	// under way.
+	// probing is set while the one request that may end the ejection is in flight.
 	probing   bool
 	firstByte time.Duration
-	used      time.Time
+	lastUsed  time.Time
 }
 
-// Table holds what an entry knows of the servers it sends to. All methods are
-// safe from any goroutine.
+// Table holds the state of the servers that an entry sends requests to. All methods
+// are safe for concurrent use.
 type Table struct {
 	mu      sync.Mutex
 	servers map[serverKey]*serverState
-	// prefixes maps the hash of target and prompt prefix to the server that
-	// answered it last.
+	// prefixes maps the hash of a target and a prompt prefix to the server that
+	// last served it.
 	prefixes map[uint64]serverKey
 	seed     maphash.Seed
 	turn     uint64
@@ -64,54 +68,55 @@
 	}
 }
 
-// Pick chooses a server, counts a request as outstanding there, and returns the
-// choice, or false when every candidate is full or excluded.
+// Pick selects a server, counts a request as outstanding there, and returns the
+// selected candidate, or false if every candidate is full or excluded.
 func (t *Table) Pick(now time.Time, target string, prompt []byte, candidates []Candidate, limit int,
 	exclude map[string]bool,
 ) (Candidate, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	prefix := t.prefixes[t.hash(target, prompt)]
-	open := t.eligible(now, candidates, exclude)
-	for i := range open {
-		t.fill(now, &open[i], prefix)
+	eligible := t.eligible(now, candidates, exclude)
+	for i := range eligible {
+		t.fillState(now, &eligible[i], prefix)
 	}
 	t.turn++
-	i := Choose(t.policy, open, limit, t.turn, t.random)
+	i := Choose(t.policy, eligible, limit, t.turn, t.random)
 	if i < 0 {
 		return Candidate{}, false
 	}
-	s := t.state(open[i])
+	s := t.state(eligible[i])
 	s.outstanding++
-	s.used = now
+	s.lastUsed = now
 	if !s.ejectedUntil.IsZero() {
 		s.probing = true
 	}
-	return open[i], true
+	return eligible[i], true
 }
 
-// eligible leaves out ejected servers, as far as the bound on them allows.
+// eligible returns the candidates that are neither excluded nor ejected. Ejected
+// candidates beyond the bound of maxEjectedDivisor are included.
 func (t *Table) eligible(now time.Time, candidates []Candidate, exclude map[string]bool) []Candidate {
-	var open, out []Candidate
+	var eligible, ejected []Candidate
 	for _, c := range candidates {
 		if exclude[c.Server] {
 			continue
 		}
-		if t.isOut(now, c) {
-			out = append(out, c)
+		if t.isEjected(now, c) {
+			ejected = append(ejected, c)
 			continue
 		}
-		open = append(open, c)
+		eligible = append(eligible, c)
 	}
-	allowed := len(candidates) / ejectShare
-	for len(out) > allowed {
-		open = append(open, out[0])
-		out = out[1:]
+	maxEjected := len(candidates) / maxEjectedDivisor
+	for len(ejected) > maxEjected {
+		eligible = append(eligible, ejected[0])
+		ejected = ejected[1:]
 	}
-	return open
+	return eligible
 }
 
-func (t *Table) isOut(now time.Time, c Candidate) bool {
+func (t *Table) isEjected(now time.Time, c Candidate) bool {
 	s := t.state(c)
 	if s.ejectedUntil.IsZero() {
 		return false
@@ -119,7 +124,7 @@
 	return now.Before(s.ejectedUntil) || s.probing
 }
 
-func (t *Table) fill(now time.Time, c *Candidate, prefix serverKey) {
+func (t *Table) fillState(now time.Time, c *Candidate, prefix serverKey) {
 	s := t.state(*c)
 	c.Outstanding = s.outstanding
 	c.Reported = s.reported
@@ -137,17 +142,18 @@
 	return s
 }
 
-// Result tells how a request at a server ended.
+// Result is the result of a request at a server.
 type Result struct {
-	// OK is false when the server failed; a caller that went away is no failure.
+	// OK is false if the server failed; a caller that disconnects is no failure.
 	OK bool
-	// FirstByte is the time to the first byte of the answer, or 0.
+	// FirstByte is the time to the first byte of the response, or 0.
 	FirstByte time.Duration
-	// Reported is the server's own count of requests, or -1.
+	// Reported is the number of requests that the server reports, or -1.
 	Reported int
 }
 
-// RecordResult takes note that a request ended.
+// RecordResult records that a request ended at a candidate that Pick returned for
+// it.
 func (t *Table) RecordResult(now time.Time, c Candidate, target string, prompt []byte, r Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -159,35 +165,35 @@
 		s.reportedAt = now
 	}
 	if !r.OK {
-		t.failed(now, s)
+		t.recordFailure(now, s)
 		return
 	}
 	s.failures, s.ejections = 0, 0
 	s.ejectedUntil = time.Time{}
 	if r.FirstByte > 0 {
-		s.firstByte = mean(s.firstByte, r.FirstByte)
+		s.firstByte = smoothedMean(s.firstByte, r.FirstByte)
 	}
-	if len(t.prefixes) >= prefixLimit {
+	if len(t.prefixes) >= maxPrefixes {
 		clear(t.prefixes)
 	}
 	t.prefixes[t.hash(target, prompt)] = serverKey{c.Server, c.Incarnation}
 }
 
-func (t *Table) failed(now time.Time, s *serverState) {
+func (t *Table) recordFailure(now time.Time, s *serverState) {
 	s.failures++
-	if s.failures < failuresToEject && s.ejectedUntil.IsZero() {
+	if s.failures < consecutiveFailuresToEject && s.ejectedUntil.IsZero() {
 		return
 	}
-	wait := min(firstEjection<<min(s.ejections, 5), maxEjection)
+	duration := min(firstEjection<<min(s.ejections, 5), maxEjection)
 	s.ejections++
-	s.ejectedUntil = now.Add(wait)
+	s.ejectedUntil = now.Add(duration)
 }
 
-func mean(old, sample time.Duration) time.Duration {
+func smoothedMean(old, sample time.Duration) time.Duration {
 	if old == 0 {
 		return sample
 	}
-	return old + time.Duration(smoothing*float64(sample-old))
+	return old + time.Duration(smoothingFactor*float64(sample-old))
 }
 
 func (t *Table) hash(target string, prompt []byte) uint64 {
@@ -195,11 +201,11 @@
 	h.SetSeed(t.seed)
 	_, _ = h.WriteString(target)
 	_ = h.WriteByte(0)
-	_, _ = h.Write(prompt[:min(len(prompt), prefixBytes)])
+	_, _ = h.Write(prompt[:min(len(prompt), hashedPrefixBytes)])
 	return h.Sum64()
 }
 
-// Outstanding returns this entry's requests at a server.
+// Outstanding returns the number of this entry's requests at a server.
 func (t *Table) Outstanding(server string, incarnation uint64) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -209,7 +215,7 @@
 	return 0
 }
 
-// Ejected returns the number of servers that are out at a time.
+// Ejected returns the number of servers that are ejected at a time.
 func (t *Table) Ejected(now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -222,12 +228,13 @@
 	return n
 }
 
-// Sweep forgets servers that were not used for long and owe nothing.
+// Sweep removes servers without outstanding requests that were not used for longer
+// than unused.
 func (t *Table) Sweep(now time.Time, unused time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for k, s := range t.servers {
-		if s.outstanding == 0 && now.Sub(s.used) > unused {
+		if s.outstanding == 0 && now.Sub(s.lastUsed) > unused {
 			delete(t.servers, k)
 		}
 	}
