--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,6 +1,6 @@
-// Package backend reads the announcements of backend servers and remembers what
-// an entry heard. Another format of announcements is met by changing this
-// package alone.
+// Package backend decodes the announcements of backend servers and records the latest
+// of each server. Supporting another format of announcements requires changes to this
+// package only.
 package backend
 
 import (
@@ -12,7 +12,7 @@
 	"fennelyard/internal/schema"
 )
 
-// The words of an announcement.
+// The names of server kinds and checkpoint tiers in an announcement.
 const (
 	KindEngine      = "engine"
 	KindApplication = "application"
@@ -21,18 +21,18 @@
 )
 
 const (
-	maxName         = 128
-	maxAccelerators = 64
-	maxItems        = 20000
+	maxNameBytes         = 128
+	maxAccelerators      = 64
+	maxListedCheckpoints = 20000
 )
 
-// Decode reads and checks an announcement. It never panics on any bytes.
+// Decode decodes and validates an announcement. It does not panic on any input.
 func Decode(data []byte) (*schema.Announcement, error) {
 	q := &schema.AnnounceRequest{}
 	if err := protojson.Unmarshal(data, q); err != nil {
 		return nil, errors.Newf("read announcement: %w", err)
 	}
-	if err := check(q); err != nil {
+	if err := validate(q); err != nil {
 		return nil, err
 	}
 	a := &schema.Announcement{
@@ -51,11 +51,11 @@
 	return a, nil
 }
 
-func check(q *schema.AnnounceRequest) error {
+func validate(q *schema.AnnounceRequest) error {
 	address, err := netip.ParseAddrPort(q.GetAddress())
 	switch {
-	case q.GetName() == "" || len(q.GetName()) > maxName:
-		return errors.Newf("name: 1 to %d characters are needed", maxName)
+	case q.GetName() == "" || len(q.GetName()) > maxNameBytes:
+		return errors.Newf("name: 1 to %d characters are needed", maxNameBytes)
 	case q.GetIncarnation() == 0:
 		return errors.New("incarnation: a number above 0 that grows with every start is needed")
 	case err != nil || address.Port() == 0:
@@ -68,14 +68,14 @@
 		return errors.Newf("accelerator-mib: an engine has 1 to %d accelerators", maxAccelerators)
 	case q.GetKind() == KindApplication && q.GetService() == "":
 		return errors.New("service: an application server names its service")
-	case len(q.GetCached()) > maxItems || len(q.GetLoaded()) > maxItems:
-		return errors.Newf("cached, loaded: at most %d items", maxItems)
+	case len(q.GetCached()) > maxListedCheckpoints || len(q.GetLoaded()) > maxListedCheckpoints:
+		return errors.Newf("cached, loaded: at most %d items", maxListedCheckpoints)
 	}
 	return nil
 }
 
-func kindOf(word string) schema.ServerKind {
-	switch word {
+func kindOf(name string) schema.ServerKind {
+	switch name {
 	case KindEngine:
 		return schema.ServerKind_SERVER_KIND_ENGINE
 	case KindApplication:
@@ -85,8 +85,8 @@
 	}
 }
 
-func tierOf(word string) schema.Tier {
-	switch word {
+func tierOf(name string) schema.Tier {
+	switch name {
 	case TierMemory:
 		return schema.Tier_TIER_MEMORY
 	case TierDisk:
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -11,52 +11,53 @@
 	"fennelyard/internal/schema"
 )
 
-// forgetAfter is how long an entry remembers a server that went elsewhere.
-const forgetAfter = 30 * time.Second
+// announcementTTL is the time after which an entry removes a server that no longer
+// announces itself here.
+const announcementTTL = 30 * time.Second
 
-type heardServer struct {
+type announcedServer struct {
 	announcement *schema.Announcement
-	at           time.Time
-	// fresh is set when the leader has not been told of the announcement, and
-	// altered when more than its sequence changed since the leader was told.
-	fresh   bool
-	altered bool
+	receivedAt   time.Time
+	// unreported is set until the announcement is reported to the leader; changed is
+	// set if more than its sequence and load changed since the last report.
+	unreported bool
+	changed    bool
 }
 
 // Registry holds the latest announcement of each server that announces itself to
-// this entry. All methods are safe from any goroutine.
+// this entry. All methods are safe for concurrent use.
 type Registry struct {
 	mu      sync.Mutex
-	servers map[string]*heardServer
-	// kick holds one token while something waits that should not wait for the
-	// next regular report.
-	kick chan struct{}
+	servers map[string]*announcedServer
+	// reportDue has a token while a change should be reported before the next
+	// regular report.
+	reportDue chan struct{}
 }
 
-// NewRegistry returns an empty Heard.
+// NewRegistry returns an empty Registry.
 func NewRegistry() *Registry {
-	return &Registry{servers: map[string]*heardServer{}, kick: make(chan struct{}, 1)}
+	return &Registry{servers: map[string]*announcedServer{}, reportDue: make(chan struct{}, 1)}
 }
 
-// ReportDue returns a channel that holds a token when an arrival, a change or a
-// leaving waits to be reported.
-func (h *Registry) ReportDue() <-chan struct{} { return h.kick }
+// ReportDue returns a channel that has a token while a new, changed or leaving server
+// should be reported immediately.
+func (r *Registry) ReportDue() <-chan struct{} { return r.reportDue }
 
-// Record remembers an announcement. It returns false for one that is older than
-// what was heard: announcements can overtake each other.
-func (h *Registry) Record(a *schema.Announcement, now time.Time) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// Record records an announcement. It returns false for one that is older than the
+// latest: announcements can arrive out of order.
+func (r *Registry) Record(a *schema.Announcement, now time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	name := a.GetServer().GetName()
-	old := h.servers[name]
+	old := r.servers[name]
 	if old != nil && isOlder(a, old.announcement) {
 		return false
 	}
-	altered := old == nil || old.altered || !sameContent(a, old.announcement)
-	h.servers[name] = &heardServer{announcement: a, at: now, fresh: true, altered: altered}
-	if altered {
+	changed := old == nil || old.changed || !sameContent(a, old.announcement)
+	r.servers[name] = &announcedServer{announcement: a, receivedAt: now, unreported: true, changed: changed}
+	if changed {
 		select {
-		case h.kick <- struct{}{}:
+		case r.reportDue <- struct{}{}:
 		default:
 		}
 	}
@@ -70,77 +71,80 @@
 	return a.GetSequence() < b.GetSequence()
 }
 
+// sameContent reports whether two announcements are equal except for their sequence,
+// outstanding requests and age.
 func sameContent(a, b *schema.Announcement) bool {
-	x := proto.Clone(a).(*schema.Announcement)
-	x.Sequence, x.Outstanding = b.GetSequence(), b.GetOutstanding()
-	x.AgeMs = b.GetAgeMs()
-	return proto.Equal(x, b)
+	c := proto.Clone(a).(*schema.Announcement)
+	c.Sequence, c.Outstanding = b.GetSequence(), b.GetOutstanding()
+	c.AgeMs = b.GetAgeMs()
+	return proto.Equal(c, b)
 }
 
-// Unreported returns what the leader should be told, oldest news last. A server
-// that only gave a sign of life is sent without its content.
-func (h *Registry) Unreported(now time.Time) []*schema.Announcement {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// Unreported returns the announcements to report to the leader, sorted by server
+// name. One that did not change otherwise has only the fields that change with each
+// announcement. Servers whose announcement has expired are removed.
+func (r *Registry) Unreported(now time.Time) []*schema.Announcement {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []*schema.Announcement
-	for _, name := range slices.Sorted(maps.Keys(h.servers)) {
-		s := h.servers[name]
-		if now.Sub(s.at) > forgetAfter {
-			delete(h.servers, name)
+	for _, name := range slices.Sorted(maps.Keys(r.servers)) {
+		s := r.servers[name]
+		if now.Sub(s.receivedAt) > announcementTTL {
+			delete(r.servers, name)
 			continue
 		}
-		if !s.fresh {
+		if !s.unreported {
 			continue
 		}
 		a := &schema.Announcement{
 			Server:   &schema.Server{Name: name, Incarnation: s.announcement.GetServer().GetIncarnation()},
 			Sequence: s.announcement.GetSequence(), Outstanding: s.announcement.GetOutstanding(),
 		}
-		if s.altered {
+		if s.changed {
 			a = proto.Clone(s.announcement).(*schema.Announcement)
 		}
-		a.AgeMs = now.Sub(s.at).Milliseconds()
+		a.AgeMs = now.Sub(s.receivedAt).Milliseconds()
 		out = append(out, a)
 	}
 	return out
 }
 
-// MarkReported takes note that a leader knows what Unreported returned. A leader
-// that is new to this entry must be told everything: see Forget.
-func (h *Registry) MarkReported(sent []*schema.Announcement) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// MarkReported marks announcements that Unreported returned as reported to the leader.
+// A new leader needs all of them: see MarkAllUnreported.
+func (r *Registry) MarkReported(sent []*schema.Announcement) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, a := range sent {
-		s := h.servers[a.GetServer().GetName()]
+		s := r.servers[a.GetServer().GetName()]
 		if s != nil && s.announcement.GetSequence() == a.GetSequence() &&
 			s.announcement.GetServer().GetIncarnation() == a.GetServer().GetIncarnation() {
-			s.fresh, s.altered = false, false
+			s.unreported, s.changed = false, false
 		}
 	}
 }
 
-// MarkAllUnreported makes everything unreported, for a leader that knows nothing yet.
-func (h *Registry) MarkAllUnreported() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, s := range h.servers {
-		s.fresh, s.altered = true, true
+// MarkAllUnreported marks all announcements as unreported and changed, for a new leader.
+func (r *Registry) MarkAllUnreported() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, s := range r.servers {
+		s.unreported, s.changed = true, true
 	}
 }
 
-// Leaving reports whether the server said to this entry, under an incarnation,
-// that it is leaving.
-func (h *Registry) Leaving(server string, incarnation uint64) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	s := h.servers[server]
+// Leaving reports whether an incarnation of a server announced to this entry that it
+// is leaving.
+func (r *Registry) Leaving(server string, incarnation uint64) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	s := r.servers[server]
 	return s != nil && s.announcement.GetServer().GetIncarnation() == incarnation &&
 		s.announcement.GetServer().GetLeaving()
 }
 
-// Len returns the number of servers heard of late.
-func (h *Registry) Len() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return len(h.servers)
+// Len returns the number of servers in the registry.
+func (r *Registry) Len() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.servers)
 }
