--- a/internal/engine/dial.go
+++ b/internal/engine/dial.go
@@ -14,9 +14,10 @@
 	keepAliveCount    = 3
 )
 
-// dialer notices within seconds that a connection has gone silent below: a load
-// may answer only after minutes, so that silence alone says nothing.
-func dialer() *net.Dialer {
+// newDialer returns a dialer whose connections detect a lost peer within seconds by
+// keep-alive probes: the reply to a load order may take minutes, so that a silent
+// connection is not necessarily lost.
+func newDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: connectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
@@ -25,21 +26,22 @@
 	}
 }
 
-type sendByKey struct{}
+type sendDeadlineKey struct{}
 
-// errTooLate says that the time to send an order passed before it was written.
-var errTooLate = errors.New("the time to send the order has passed")
+// errSendDeadlinePassed reports that the send timeout passed before an order was
+// written.
+var errSendDeadlinePassed = errors.New("the send timeout of the order has passed")
 
-// dialInTime connects, and gives the connection up when the order that it is
-// for must not be sent any more.
-func dialInTime(ctx context.Context, network, address string) (net.Conn, error) {
-	conn, err := dialer().DialContext(ctx, network, address)
+// dialBeforeDeadline connects, and closes the connection if the send deadline of the
+// context has passed in the meantime.
+func dialBeforeDeadline(ctx context.Context, network, address string) (net.Conn, error) {
+	conn, err := newDialer().DialContext(ctx, network, address)
 	if err != nil {
 		return nil, errors.Newf("connect: %w", err)
 	}
-	if by, ok := ctx.Value(sendByKey{}).(time.Time); ok && time.Now().After(by) {
+	if deadline, ok := ctx.Value(sendDeadlineKey{}).(time.Time); ok && time.Now().After(deadline) {
 		_ = conn.Close()
-		return nil, errTooLate
+		return nil, errSendDeadlinePassed
 	}
 	return conn, nil
 }
