--- /dev/null
+++ b/internal/entry/suspects.go
@@ -0,0 +1,122 @@
+package entry
+
+import (
+	"context"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"fennelyard/internal/incarnation"
+	"fennelyard/internal/ledger"
+	"fennelyard/internal/quarantine"
+	"fennelyard/internal/refusal"
+	"fennelyard/internal/routing"
+	"fennelyard/internal/schema"
+)
+
+const (
+	// proposeTimeout bounds a proposal of suspects to the control group,
+	// proposeRetryInterval is the time until the next attempt.
+	proposeTimeout       = 2 * time.Second
+	proposeRetryInterval = time.Second
+)
+
+// keyedRequest returns the request as the guard identifies it.
+func (in *incomingRequest) keyedRequest() *quarantine.KeyedRequest {
+	if in.keyed == nil {
+		in.keyed = quarantine.NewKeyedRequest(quarantine.Request{
+			Method: in.method, Host: in.target.name, Target: in.path, Caller: in.customer, Body: in.body,
+		})
+	}
+	return in.keyed
+}
+
+// checkHeldBack refuses a request that is known to end the servers that run it, and
+// returns nil for any other. It waits for the probes of servers at which an attempt
+// of the request has just failed.
+func (e *Entry) checkHeldBack(ctx context.Context, in *incomingRequest) *refusal.Refusal {
+	e.guard.AwaitProbes(ctx, in.keyedRequest())
+	left, held := e.guard.HeldBack(in.keyedRequest())
+	if !held {
+		return nil
+	}
+	return refusal.New(refusal.HeldBack, "servers ended that ran this request before (%s)", in.keyedRequest().ComputedKey()).WithRetryAfter(left)
+}
+
+// reportFailedAttempt reports a server at which an attempt failed to the guard. A
+// leaving server is not reported: it ends whatever it runs.
+func (e *Entry) reportFailedAttempt(ctx context.Context, in *incomingRequest, at routing.Candidate, err error) {
+	if ctx.Err() != nil || errors.Is(err, routing.ErrNotRun) || errors.Is(err, routing.ErrSilent) {
+		return
+	}
+	accepts := false
+	e.cfg.Replica.View(func(r *ledger.Records) { accepts = e.acceptsRequests(r.Server(at.Server), at.Incarnation) })
+	if accepts {
+		server := incarnation.Name{Server: at.Server, StartMs: int64(at.Incarnation)}
+		e.guard.AttemptFailed(in.keyedRequest(), server.String(), at.Address)
+	}
+}
+
+// requestRecording triggers recordSuspects.
+func (e *Entry) requestRecording() {
+	select {
+	case e.suspectsDue <- struct{}{}:
+	default:
+	}
+}
+
+// recordSuspects has the control group record the suspects that this entry finds, so
+// that every entry knows them and they survive a restart of all entries. Until that
+// succeeds, only this entry holds these requests back.
+func (e *Entry) recordSuspects() {
+	for recorded := uint64(0); ; {
+		select {
+		case <-e.stop:
+			return
+		case <-e.suspectsDue:
+			recorded = e.recordSince(recorded)
+		}
+	}
+}
+
+// recordSince has the control group record the suspects changed after a change number
+// of the suspect set. It returns the number of the last change recorded, which is
+// not the latest only if the entry stops.
+func (e *Entry) recordSince(change uint64) uint64 {
+	for {
+		list, to := e.guard.Suspects().Since(change, quarantine.PartNoted)
+		if len(list) == 0 {
+			return to
+		}
+		err := e.proposeSuspects(list)
+		if err == nil {
+			change = to
+			continue
+		}
+		e.cfg.Log.Info("suspects not recorded", "count", len(list), "error", err.Error())
+		if !e.sleep(proposeRetryInterval) {
+			return change
+		}
+	}
+}
+
+func (e *Entry) proposeSuspects(list []*schema.Suspect) error {
+	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
+	defer cancel()
+	q, now := &schema.RememberSuspects{}, time.Now().UnixMilli()
+	for _, s := range list {
+		q.Suspects = append(q.Suspects, &schema.KnownSuspect{Suspect: s, AtMs: now})
+	}
+	_, err := e.cfg.Control.Propose(ctx, &schema.Command{Body: &schema.Command_RememberSuspects{RememberSuspects: q}})
+	if err != nil {
+		return errors.Newf("record suspects: %w", err)
+	}
+	return nil
+}
+
+// mergeRecordedSuspects merges the suspects that the control group has recorded.
+func (e *Entry) mergeRecordedSuspects() {
+	var list []*schema.Suspect
+	e.cfg.Replica.View(func(r *ledger.Records) { list = r.Suspects(time.Now()) })
+	e.guard.Suspects().Merge(list, true)
+}
