--- a/internal/order/doc.go
+++ b/internal/order/doc.go
@@ -1,4 +1,5 @@
-// Package order is the leader's hand: it collects the entries' reports, asks
-// placement what to do, reserves through the log, gives the orders to engines
-// and records what they prove.
+// Package order implements the leader's order driver. It collects the entries'
+// reports, decides with package placement which models to load and unload,
+// reserves accelerator memory through the replicated log, sends the orders to the
+// engines and records what their replies prove.
 package order
--- a/internal/order/driver_test.go
+++ b/internal/order/driver_test.go
@@ -30,175 +30,175 @@
 )
 
 const (
-	engines    = 4
-	engineMiB  = 100
-	targets    = 5
-	maxPer     = 2
-	lateFlight = 10 * time.Second
+	engineCount    = 4
+	acceleratorMiB = 100
+	targetCount    = 5
+	maxReplicas    = 2
+	maxLateDelay   = 10 * time.Second
 )
 
-// yard is a replicated state with several leaders after each other and engines
-// that lose and delay orders. It checks the engines themselves: the
-// ledger could be right about a world that is wrong.
-type yard struct {
+// cluster is a replicated ledger with several drivers, of which at most one leads,
+// and engines that lose and delay orders. It checks the engines' memory itself: the
+// ledger may be consistent while it does not match the engines.
+type cluster struct {
 	t      *testing.T
 	seed   int64
 	mu     sync.Mutex
 	random *rand.Rand
 	ledger *ledger.Ledger
 	index  uint64
-	// term and leader change with each election.
+	// term and leader change with each election; leader is -1 while none leads.
 	term    uint64
 	leader  int
 	drivers []*order.Driver
 	engines []*fakeEngine
 	faults  bool
-	stats   yardStats
+	stats   clusterStats
 }
 
-type yardStats struct{ orders, lost, late, deaths, elections, loads, unloads int }
+type clusterStats struct{ orders, lost, late, crashes, elections, loads, unloads int }
 
 type fakeEngine struct {
-	// turn holds a token while an order is carried out: an engine works on one
-	// order for its accelerator at a time. A mutex would stop simulated time.
-	turn        chan struct{}
-	name        string
-	incarnation uint64
-	checks      bool
-	loaded      map[string]uint64
-	highest     uint64
-	sequence    uint64
-	down        bool
-	silent      bool
+	// executing holds a token while an order is executed: an engine executes one
+	// order at a time. A mutex would block the bubble's simulated time.
+	executing      chan struct{}
+	name           string
+	incarnation    uint64
+	checksFencing  bool
+	loaded         map[string]uint64
+	highestFencing uint64
+	sequence       uint64
+	down           bool
+	silent         bool
 }
 
-func newYard(t *testing.T, seed int64) *yard {
-	y := &yard{t: t, seed: seed, random: rand.New(rand.NewSource(seed)), ledger: ledger.New(), term: 1, faults: true}
-	for i := range engines {
-		y.engines = append(y.engines, &fakeEngine{
-			name: fmt.Sprint("engine-", i), incarnation: 1, checks: i%2 == 0, loaded: map[string]uint64{}, turn: make(chan struct{}, 1),
+func newCluster(t *testing.T, seed int64) *cluster {
+	c := &cluster{t: t, seed: seed, random: rand.New(rand.NewSource(seed)), ledger: ledger.New(), term: 1, faults: true}
+	for i := range engineCount {
+		c.engines = append(c.engines, &fakeEngine{
+			name: fmt.Sprint("engine-", i), incarnation: 1, checksFencing: i%2 == 0, loaded: map[string]uint64{}, executing: make(chan struct{}, 1),
 		})
 	}
 	in := &schema.Intent{Name: "a", Customer: &schema.CustomerIntent{Name: "c"}}
-	for i := range targets {
+	for i := range targetCount {
 		in.Models = append(in.Models, &schema.ModelIntent{
-			Name: fmt.Sprint("m", i), Version: "1", MemoryMib: uint64(30 + 10*i), MaxReplicas: maxPer,
+			Name: fmt.Sprint("m", i), Version: "1", MemoryMib: uint64(30 + 10*i), MaxReplicas: maxReplicas,
 		})
 	}
-	r := y.commit(&schema.Command{Id: "1", Body: &schema.Command_ApplyIntent{ApplyIntent: &schema.ApplyIntent{Intent: in}}})
-	r = y.commit(&schema.Command{Id: "2", Body: &schema.Command_DecidePlan{DecidePlan: &schema.DecidePlan{Plan: r.GetPlan().GetNumber(), Confirm: true}}})
+	r := c.commit(&schema.Command{Id: "1", Body: &schema.Command_ApplyIntent{ApplyIntent: &schema.ApplyIntent{Intent: in}}})
+	r = c.commit(&schema.Command{Id: "2", Body: &schema.Command_DecidePlan{DecidePlan: &schema.DecidePlan{Plan: r.GetPlan().GetNumber(), Confirm: true}}})
 	require.Equal(t, schema.ResultCode_RESULT_CODE_OK, r.GetCode(), r.GetReason())
 	for i := range 3 {
-		y.drivers = append(y.drivers, y.driver(i))
+		c.drivers = append(c.drivers, c.newDriver(i))
 	}
-	return y
+	return c
 }
 
-func (y *yard) commit(cmd *schema.Command) *schema.Result {
-	y.index++
+func (c *cluster) commit(cmd *schema.Command) *schema.Result {
+	c.index++
 	cmd.AtMs = time.Now().UnixMilli()
 	data, err := proto.Marshal(cmd)
-	require.NoError(y.t, err)
-	return y.ledger.Apply(y.index, data).(*schema.Result)
+	require.NoError(c.t, err)
+	return c.ledger.Apply(c.index, data).(*schema.Result)
 }
 
-func (y *yard) driver(i int) *order.Driver {
-	return y.driverGiving(i, y.give)
+func (c *cluster) newDriver(i int) *order.Driver {
+	return c.newDriverSending(i, c.sendOrder)
 }
 
-type giver func(ctx context.Context, address string, o *schema.Order) (*schema.OrderReply, error)
+type orderSender func(ctx context.Context, address string, o *schema.Order) (*schema.OrderReply, error)
 
-func (y *yard) driverGiving(i int, give giver) *order.Driver {
+func (c *cluster) newDriverSending(i int, send orderSender) *order.Driver {
 	return order.NewDriver(order.Config{
-		Ledger: y.ledger,
+		Ledger: c.ledger,
 		Leadership: func() order.Leadership {
-			y.mu.Lock()
-			defer y.mu.Unlock()
-			return order.Leadership{IsLeader: y.leader == i, Term: y.term}
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			return order.Leadership{IsLeader: c.leader == i, Term: c.term}
 		},
 		Commit: func(_ context.Context, cmd *schema.Command) (*schema.Result, error) {
-			y.mu.Lock()
-			defer y.mu.Unlock()
-			if y.leader != i {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			if c.leader != i {
 				return nil, errors.New("not the leader")
 			}
-			lost := y.faults && y.random.Intn(12) == 0
-			if lost && y.random.Intn(2) == 0 {
-				return nil, errors.New("not committed, but who knows")
+			lost := c.faults && c.random.Intn(12) == 0
+			if lost && c.random.Intn(2) == 0 {
+				return nil, errors.New("commit outcome unknown (not committed)")
 			}
-			r := y.commit(cmd)
+			r := c.commit(cmd)
 			if lost {
-				return nil, errors.New("committed, but who knows")
+				return nil, errors.New("commit outcome unknown (committed)")
 			}
 			return r, nil
 		},
 		ConfirmLeadership: func(context.Context) error {
-			y.mu.Lock()
-			defer y.mu.Unlock()
-			if y.leader != i {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			if c.leader != i {
 				return errors.New("not the leader")
 			}
 			return nil
 		},
-		SendOrder: give,
+		SendOrder: send,
 		Speeds:    placement.LoadSpeeds{RemoteMiBPerSecond: 50, DiskMiBPerSecond: 50, MemoryMiBPerSecond: 50, LoadsPerSecond: 10, FullSpeedLoads: 4},
-		// Idle replicas are dear, so that there are many unloads.
+		// A high price of idle replicas causes many unloads.
 		Prices: placement.Prices{ColdStartSecond: 1, IdleAcceleratorHour: 5000, WaitingPerReplica: 1},
 		Now:    time.Now, Log: logr.Discard(), Tracer: noop.NewTracerProvider().Tracer(""),
 	})
 }
 
-func (y *yard) draw(n int) int {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.random.Intn(n)
+func (c *cluster) intn(n int) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.random.Intn(n)
 }
 
-func (y *yard) faulty() bool {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.faults
+func (c *cluster) faultsEnabled() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.faults
 }
 
-// give is the way of an order to an engine. Once it has left, neither its
-// sender's death nor its timeout calls it back.
-func (y *yard) give(ctx context.Context, address string, o *schema.Order) (*schema.OrderReply, error) {
+// sendOrder transports an order to an engine. Once sent, the order arrives even if
+// its sender stops or times out, unless it is lost.
+func (c *cluster) sendOrder(ctx context.Context, address string, o *schema.Order) (*schema.OrderReply, error) {
 	var e *fakeEngine
-	for _, x := range y.engines {
+	for _, x := range c.engines {
 		if x.name == address {
 			e = x
 		}
 	}
-	y.mu.Lock()
-	y.stats.orders++
-	y.mu.Unlock()
+	c.mu.Lock()
+	c.stats.orders++
+	c.mu.Unlock()
 	fault := 100
-	if y.faulty() {
-		fault = y.draw(10)
+	if c.faultsEnabled() {
+		fault = c.intn(10)
 	}
-	flight := time.Duration(y.draw(50)) * time.Millisecond
-	// A connection ends with the process that accepted it: what is on its way
+	flight := time.Duration(c.intn(50)) * time.Millisecond
+	// A connection ends with the process that accepted it, so an order in flight
 	// to one incarnation cannot reach the next one.
-	y.mu.Lock()
-	meant := e.incarnation
-	y.mu.Unlock()
+	c.mu.Lock()
+	expected := e.incarnation
+	c.mu.Unlock()
 	if fault == 0 {
-		// Lost on its way.
-		y.count(func(s *yardStats) { s.lost++ })
-		return y.never(ctx)
+		// The order is lost.
+		c.updateStats(func(s *clusterStats) { s.lost++ })
+		return c.dropReply(ctx)
 	}
 	if fault == 1 {
-		y.count(func(s *yardStats) { s.late++ })
-		flight = time.Duration(y.draw(int(lateFlight/time.Millisecond))) * time.Millisecond
+		c.updateStats(func(s *clusterStats) { s.late++ })
+		flight = time.Duration(c.intn(int(maxLateDelay/time.Millisecond))) * time.Millisecond
 	}
 	done := make(chan *schema.OrderReply, 1)
 	go func() {
 		time.Sleep(flight)
-		done <- y.execute(e, o, meant)
+		done <- c.execute(e, o, expected)
 	}()
 	if fault == 2 || fault == 3 {
-		// Its answer is lost.
-		return y.never(ctx)
+		// The reply is lost.
+		return c.dropReply(ctx)
 	}
 	select {
 	case r := <-done:
@@ -211,249 +211,251 @@
 	}
 }
 
-func (y *yard) count(f func(*yardStats)) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	f(&y.stats)
+func (c *cluster) updateStats(f func(*clusterStats)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	f(&c.stats)
 }
 
-func (y *yard) never(ctx context.Context) (*schema.OrderReply, error) {
+// dropReply fails like a call without a reply.
+func (c *cluster) dropReply(ctx context.Context) (*schema.OrderReply, error) {
 	timer := time.NewTimer(20 * time.Second)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	return nil, errors.New("no answer")
+	return nil, errors.New("no reply")
 }
 
-// execute carries an order out as an engine does.
-func (y *yard) execute(e *fakeEngine, o *schema.Order, meant uint64) *schema.OrderReply {
-	e.turn <- struct{}{}
-	defer func() { <-e.turn }()
-	y.mu.Lock()
-	if e.down || e.incarnation != meant {
-		y.mu.Unlock()
+// execute executes an order as an engine does. It returns nil if the engine is down or
+// no longer has the expected incarnation.
+func (c *cluster) execute(e *fakeEngine, o *schema.Order, expected uint64) *schema.OrderReply {
+	e.executing <- struct{}{}
+	defer func() { <-e.executing }()
+	c.mu.Lock()
+	if e.down || e.incarnation != expected {
+		c.mu.Unlock()
 		return nil
 	}
 	incarnation := e.incarnation
-	refuse := e.checks && o.GetFencing() < e.highest
+	refuse := e.checksFencing && o.GetFencing() < e.highestFencing
 	if !refuse {
-		e.highest = max(e.highest, o.GetFencing())
+		e.highestFencing = max(e.highestFencing, o.GetFencing())
 	}
-	y.mu.Unlock()
+	c.mu.Unlock()
 	reply := &schema.OrderReply{Fencing: o.GetFencing(), Outcome: engine.OutcomeDone, Incarnation: incarnation}
 	if refuse {
 		reply.Outcome = engine.OutcomeRefused
 		return reply
 	}
 	if o.GetKind() == engine.KindUnload {
-		y.mu.Lock()
-		defer y.mu.Unlock()
+		c.mu.Lock()
+		defer c.mu.Unlock()
 		delete(e.loaded, o.GetTarget())
-		y.stats.unloads++
+		c.stats.unloads++
 		return reply
 	}
-	if y.faulty() && y.draw(8) == 0 {
+	if c.faultsEnabled() && c.intn(8) == 0 {
 		reply.Outcome, reply.Reason = engine.OutcomeFailed, "the checkpoint could not be read"
 		return reply
 	}
-	time.Sleep(time.Duration(200+y.draw(1500)) * time.Millisecond)
-	y.mu.Lock()
-	defer y.mu.Unlock()
+	time.Sleep(time.Duration(200+c.intn(1500)) * time.Millisecond)
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if e.down || e.incarnation != incarnation {
 		return nil
 	}
 	e.loaded[o.GetTarget()] = o.GetMemoryMib()
-	y.stats.loads++
-	y.check()
+	c.stats.loads++
+	c.checkEngines()
 	return reply
 }
 
-// check looks into the engines: y.mu is held.
-func (y *yard) check() {
-	held := map[string]int{}
-	for _, e := range y.engines {
+// checkEngines checks the memory and the replicas of the engines; c.mu is held.
+func (c *cluster) checkEngines() {
+	replicas := map[string]int{}
+	for _, e := range c.engines {
 		var used uint64
 		for target, mib := range e.loaded {
-			held[target]++
+			replicas[target]++
 			used += mib
 		}
-		if used > engineMiB {
-			y.t.Errorf("seed %d: %s holds %d of %d MiB: %v", y.seed, e.name, used, engineMiB, e.loaded)
+		if used > acceleratorMiB {
+			c.t.Errorf("seed %d: %s uses %d of %d MiB: %v", c.seed, e.name, used, acceleratorMiB, e.loaded)
 		}
 	}
-	for target, n := range held {
-		if n > maxPer {
-			y.t.Errorf("seed %d: %d replicas of %s, %d were decided", y.seed, n, target, maxPer)
+	for target, n := range replicas {
+		if n > maxReplicas {
+			c.t.Errorf("seed %d: %d replicas of %s, want at most %d", c.seed, n, target, maxReplicas)
 		}
 	}
 }
 
-// report is what an entry tells the leader of the moment.
-func (y *yard) report() {
+// report sends an entry's current report to the leader.
+func (c *cluster) report() {
 	q := &schema.Report{Entry: "entry"}
-	y.mu.Lock()
-	for _, e := range y.engines {
+	c.mu.Lock()
+	for _, e := range c.engines {
 		e.sequence++
 		if e.down || e.silent {
 			continue
 		}
 		a := &schema.Announcement{Sequence: e.sequence, Server: &schema.Server{
 			Name: e.name, Incarnation: e.incarnation, Kind: schema.ServerKind_SERVER_KIND_ENGINE, Address: e.name,
-			DataCentre: "hall-a", AcceleratorMib: []uint64{engineMiB}, ChecksFencing: e.checks,
+			DataCentre: "hall-a", AcceleratorMib: []uint64{acceleratorMiB}, ChecksFencing: e.checksFencing,
 		}}
 		q.Announcements = append(q.Announcements, a)
 	}
-	for i := range targets {
-		if y.random.Intn(3) == 0 {
+	for i := range targetCount {
+		if c.random.Intn(3) == 0 {
 			q.Demands = append(q.Demands, &schema.Demand{
-				Target: fmt.Sprint("m", i), Waiting: uint32(y.random.Intn(4)), FirstDeadlineMs: 20000, Arrived: 1,
+				Target: fmt.Sprint("m", i), Waiting: uint32(c.random.Intn(4)), FirstDeadlineMs: 20000, Arrived: 1,
 			})
 		}
 	}
-	leader := y.leader
-	y.mu.Unlock()
+	leader := c.leader
+	c.mu.Unlock()
 	if leader >= 0 {
-		y.drivers[leader].HandleReport(q)
+		c.drivers[leader].HandleReport(q)
 	}
 }
 
-func (y *yard) fault() {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	e := y.engines[y.random.Intn(engines)]
-	switch y.random.Intn(12) {
+func (c *cluster) injectFault() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	e := c.engines[c.random.Intn(engineCount)]
+	switch c.random.Intn(12) {
 	case 0:
-		// The process dies, in the middle of whatever it does.
+		// The process crashes, possibly while it executes an order.
 		e.down = true
 		e.loaded = map[string]uint64{}
-		y.stats.deaths++
+		c.stats.crashes++
 	case 1, 2, 3:
 		if e.down {
 			e.down = false
 			e.incarnation++
-			e.highest = 0
+			e.highestFencing = 0
 		}
 	case 4:
 		e.silent = true
 	case 5, 6:
 		e.silent = false
 	case 7:
-		y.leader = y.random.Intn(len(y.drivers)+1) - 1
-		y.term++
-		y.stats.elections++
+		c.leader = c.random.Intn(len(c.drivers)+1) - 1
+		c.term++
+		c.stats.elections++
 	}
 }
 
-// settle ends all faults and waits until nothing is open.
-func (y *yard) settle() {
-	y.mu.Lock()
-	y.faults = false
-	y.leader = 0
-	y.term++
-	for _, e := range y.engines {
+// quiesce ends all faults and checks that no order stays unfinished.
+func (c *cluster) quiesce() {
+	c.mu.Lock()
+	c.faults = false
+	c.leader = 0
+	c.term++
+	for _, e := range c.engines {
 		e.silent = false
 		if e.down {
 			e.down = false
 			e.incarnation++
-			e.highest = 0
+			e.highestFencing = 0
 		}
 	}
-	y.mu.Unlock()
+	c.mu.Unlock()
 	for range 120 {
-		y.report()
+		c.report()
 		time.Sleep(time.Second)
 	}
-	open := 0
-	y.ledger.View(func(_ ledger.Status, r *ledger.Records) {
+	unfinished := 0
+	c.ledger.View(func(_ ledger.Status, r *ledger.Records) {
 		for _, res := range r.Reservations() {
 			if res.GetState() != schema.ReservationState_RESERVATION_STATE_LOADED && time.Now().UnixMilli()-res.GetChangedMs() > 60_000 {
-				open++
+				unfinished++
 			}
 		}
 	})
-	assert.Zero(y.t, open, "seed %d: orders without an end after the last fault", y.seed)
+	assert.Zero(c.t, unfinished, "seed %d: unfinished orders after the last fault", c.seed)
 }
 
-// TestEnginesHoldNoMoreThanDecided runs leaders after each other against engines
-// that lose, delay and fail orders, die in the middle of a load and come
-// back, half of them without looking at fencing numbers. An order of a deposed
-// leader may arrive up to ten seconds later. Looked at from inside the engines,
-// no model ever has more replicas than were decided and no memory is
-// overcommitted; after the last fault every order comes to an end.
-func TestEnginesHoldNoMoreThanDecided(t *testing.T) {
-	var total yardStats
+// TestNoOvercommitUnderFaults runs a succession of leaders against engines that lose,
+// delay and fail orders, crash during a load and restart; half of them do not check
+// fencing tokens. An order of a deposed leader may arrive up to ten seconds late. In
+// the engines themselves, no model ever has more replicas than its maximum and no
+// memory is overcommitted; after the last fault every order finishes.
+func TestNoOvercommitUnderFaults(t *testing.T) {
+	var total clusterStats
 	for i := range *schedules {
 		synctest.Test(t, func(t *testing.T) {
-			y := newYard(t, *firstSeed+int64(i))
+			c := newCluster(t, *firstSeed+int64(i))
 			for range 240 {
-				y.report()
-				if y.draw(3) == 0 {
-					y.fault()
+				c.report()
+				if c.intn(3) == 0 {
+					c.injectFault()
 				}
 				time.Sleep(time.Second)
 			}
-			y.settle()
-			for _, d := range y.drivers {
+			c.quiesce()
+			for _, d := range c.drivers {
 				d.Stop()
 			}
-			// What is still on its way must not outlive the bubble.
+			// Orders still in flight must arrive before the bubble ends.
 			time.Sleep(time.Minute)
-			y.mu.Lock()
-			defer y.mu.Unlock()
-			total.orders += y.stats.orders
-			total.lost += y.stats.lost
-			total.late += y.stats.late
-			total.deaths += y.stats.deaths
-			total.elections += y.stats.elections
-			total.loads += y.stats.loads
-			total.unloads += y.stats.unloads
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			total.orders += c.stats.orders
+			total.lost += c.stats.lost
+			total.late += c.stats.late
+			total.crashes += c.stats.crashes
+			total.elections += c.stats.elections
+			total.loads += c.stats.loads
+			total.unloads += c.stats.unloads
 		})
 	}
 	t.Logf("%d schedules: %+v", *schedules, total)
 	assert.Greater(t, total.unloads, *schedules)
 }
 
-// TestLateCopyOfAFailedLoad: the first copy of a load order loses its connection
-// and is still carried out nine seconds later; the second copy is answered with
-// a failure. The engine ignores fencing numbers. Released at once, the memory
-// would be reserved again while the late copy fills it.
+// TestLateCopyOfAFailedLoad tests that a failed load is not released while a copy of
+// its order may still arrive. The connection of the first copy is reset, and the copy
+// is still executed nine seconds later; the reply to the second copy is a failure. The
+// engine ignores fencing tokens. If the memory were released at once, it would be
+// reserved again while the late copy fills it.
 func TestLateCopyOfAFailedLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		y := newYard(t, 1)
-		for _, d := range y.drivers {
+		c := newCluster(t, 1)
+		for _, d := range c.drivers {
 			d.Stop()
 		}
-		y.faults = false
-		e := y.engines[1]
-		y.engines = []*fakeEngine{e}
+		c.faults = false
+		e := c.engines[1]
+		c.engines = []*fakeEngine{e}
 		copies := 0
-		d := y.driverGiving(0, func(ctx context.Context, address string, o *schema.Order) (*schema.OrderReply, error) {
+		d := c.newDriverSending(0, func(ctx context.Context, address string, o *schema.Order) (*schema.OrderReply, error) {
 			if o.GetKind() != engine.KindLoad || o.GetTarget() != "m4" {
-				return y.give(ctx, address, o)
+				return c.sendOrder(ctx, address, o)
 			}
 			copies++
 			switch copies {
 			case 1:
 				go func() {
 					time.Sleep(9 * time.Second)
-					y.execute(e, o, 1)
+					c.execute(e, o, 1)
 				}()
 				return nil, errors.New("connection reset")
 			case 2:
 				return &schema.OrderReply{Fencing: o.GetFencing(), Outcome: engine.OutcomeFailed, Incarnation: 1}, nil
 			}
-			return y.give(ctx, address, o)
+			return c.sendOrder(ctx, address, o)
 		})
-		y.drivers = []*order.Driver{d}
+		c.drivers = []*order.Driver{d}
 		for i := range 30 {
 			q := &schema.Report{Entry: "entry", Announcements: []*schema.Announcement{{Sequence: uint64(i), Server: &schema.Server{
 				Name: e.name, Incarnation: 1, Kind: schema.ServerKind_SERVER_KIND_ENGINE, Address: e.name,
-				DataCentre: "hall-a", AcceleratorMib: []uint64{engineMiB},
+				DataCentre: "hall-a", AcceleratorMib: []uint64{acceleratorMiB},
 			}}}}
-			// First the large model alone; the next ones take the room as soon as
-			// it is free.
+			// Only the large model is requested at first; the others then use its
+			// memory as soon as it is released.
 			targets := []string{"m4"}
 			if i > 0 {
 				targets = []string{"m1", "m2"}
@@ -465,9 +467,9 @@
 			d.HandleReport(q)
 			time.Sleep(time.Second)
 		}
-		y.mu.Lock()
-		assert.Positive(t, y.stats.loads, "the late copy was carried out")
-		y.mu.Unlock()
+		c.mu.Lock()
+		assert.Positive(t, c.stats.loads, "the late copy was not executed")
+		c.mu.Unlock()
 		d.Stop()
 		time.Sleep(time.Minute)
 	})
--- a/internal/order/forecast.go
+++ b/internal/order/forecast.go
@@ -8,7 +8,8 @@
 	"fennelyard/internal/schema"
 )
 
-// Forecast estimates what an intent's targets would cost, for its plan.
+// Forecast estimates the cold start time and the idle hours per day of an intent's
+// targets, for its plan.
 func (d *Driver) Forecast(in *schema.Intent) []*schema.PlanLine {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -33,23 +34,25 @@
 
 const hoursPerDay = 24
 
-// idleHours is the expected idle time per day by what is learnt of a target; a
-// target that nobody asked for yet is held for nobody.
+// idleHours returns the expected idle hours per day by the arrival pattern of a
+// target. A target without arrivals is not kept loaded, so it has no idle time.
 func (d *Driver) idleHours(name string, cold time.Duration) float64 {
-	return d.fleet.patterns[name].IdleHoursPerDay(d.cfg.Now(), cold.Seconds()*d.cfg.Prices.ColdStartSecond, d.cfg.Prices.IdleAcceleratorHour)
+	return d.observed.patterns[name].IdleHoursPerDay(d.cfg.Now(), cold.Seconds()*d.cfg.Prices.ColdStartSecond, d.cfg.Prices.IdleAcceleratorHour)
 }
 
+// bestTier returns the fastest tier from which any server can load a target.
 func (d *Driver) bestTier(target string) placement.Tier {
 	best := placement.TierRemote
-	for _, h := range d.fleet.servers {
-		best = max(best, h.cached[target])
+	for _, o := range d.observed.servers {
+		best = max(best, o.cached[target])
 	}
 	return best
 }
 
-// UnconfirmedReservations lists the reservations whose order has had no answer for long.
+// UnconfirmedReservations returns the numbers of the reservations whose order has
+// had no reply for unconfirmedAge.
 func (d *Driver) UnconfirmedReservations() []uint64 {
-	limit := d.cfg.Now().Add(-unprovedAfter).UnixMilli()
+	limit := d.cfg.Now().Add(-unconfirmedAge).UnixMilli()
 	var out []uint64
 	d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) {
 		for _, res := range r.Reservations() {
--- a/internal/order/observed.go
+++ b/internal/order/observed.go
@@ -9,60 +9,66 @@
 )
 
 const (
-	// demandLife is how long an entry's word on its queues counts.
-	demandLife = 3 * time.Second
-	// quietAfter is how long a server may be silent before no new work goes
-	// there; lostAfter before it is recorded as lost.
-	quietAfter = 5 * time.Second
-	lostAfter  = 15 * time.Second
-	// returnLife is how long a refused caller is expected back.
-	returnLife = 15 * time.Second
+	// demandTTL is how long an entry's report of its queues is valid.
+	demandTTL = 3 * time.Second
+	// A server that is silent for silenceTimeout gets no new loads; one that is
+	// silent for lostTimeout is recorded as lost.
+	silenceTimeout = 5 * time.Second
+	lostTimeout    = 15 * time.Second
+	// retryTTL is how long a refused caller is expected to retry.
+	retryTTL = 15 * time.Second
 )
 
-// fleet is the leader's soft state: it is lost with the leader and comes back
-// with the next reports.
-type fleet struct {
-	servers map[string]*heard
-	// demands holds each entry's word by target.
+// observedState is the leader's soft state, built from the entries' reports. It is
+// lost with the leader; the next leader rebuilds it from the next reports.
+type observedState struct {
+	servers map[string]*observedServer
+	// demands holds the latest demand by entry and target.
 	demands  map[string]map[string]entryDemand
 	patterns map[string]*placement.ArrivalPattern
-	used     map[string]time.Time
-	returns  map[string]time.Time
+	// lastUsed is when each target last had a request.
+	lastUsed map[string]time.Time
+	// retriesReported is when an entry last reported callers of a target that were
+	// refused and are expected to retry.
+	retriesReported map[string]time.Time
 }
 
-type heard struct {
+// observedServer is the latest announcement of a server.
+type observedServer struct {
 	server *schema.Server
 	cached map[string]placement.Tier
 	loaded map[string]bool
-	// seen holds what the incarnation ever reported as loaded.
-	seen map[string]bool
-	// sequence and at belong to the latest sign of life, altered to the latest
-	// full announcement.
-	sequence uint64
-	at       time.Time
-	altered  time.Time
+	// everLoaded holds all targets that the incarnation has reported as loaded.
+	everLoaded map[string]bool
+	// sequence and lastSeen belong to the latest announcement of either kind,
+	// announcedAt to the latest full one.
+	sequence    uint64
+	lastSeen    time.Time
+	announcedAt time.Time
 }
 
+// entryDemand is an entry's demand for a target.
 type entryDemand struct {
-	demand *schema.Demand
-	at     time.Time
+	demand     *schema.Demand
+	receivedAt time.Time
 }
 
-func newFleet() *fleet {
-	return &fleet{
-		servers: map[string]*heard{}, demands: map[string]map[string]entryDemand{},
-		patterns: map[string]*placement.ArrivalPattern{}, used: map[string]time.Time{},
-		returns: map[string]time.Time{},
+func newObservedState() *observedState {
+	return &observedState{
+		servers: map[string]*observedServer{}, demands: map[string]map[string]entryDemand{},
+		patterns: map[string]*placement.ArrivalPattern{}, lastUsed: map[string]time.Time{},
+		retriesReported: map[string]time.Time{},
 	}
 }
 
-// hear takes in an announcement and returns the server where its record may
-// have to change. A sign of life for a server that is not known in full is not
-// taken: the entry will send the rest.
-func (f *fleet) hear(a *schema.Announcement, now time.Time) *schema.Server {
+// handleAnnouncement applies an announcement and returns the server if its record
+// may have to change, or nil. An announcement without an address is a keep-alive;
+// it is ignored for an incarnation without a full announcement, which the entry
+// sends later.
+func (st *observedState) handleAnnouncement(a *schema.Announcement, now time.Time) *schema.Server {
 	name := a.GetServer().GetName()
-	at := now.Add(-time.Duration(a.GetAgeMs()) * time.Millisecond)
-	old := f.servers[name]
+	lastSeen := now.Add(-time.Duration(a.GetAgeMs()) * time.Millisecond)
+	old := st.servers[name]
 	if old != nil && a.GetServer().GetIncarnation() < old.server.GetIncarnation() {
 		return nil
 	}
@@ -70,7 +76,7 @@
 	if a.GetServer().GetAddress() == "" {
 		if same && a.GetSequence() >= old.sequence {
 			old.sequence = a.GetSequence()
-			old.at = later(old.at, at)
+			old.lastSeen = later(old.lastSeen, lastSeen)
 		}
 		if same {
 			return old.server
@@ -80,93 +86,96 @@
 	if same && a.GetSequence() < old.sequence {
 		return nil
 	}
-	h := &heard{
-		server: a.GetServer(), sequence: a.GetSequence(), at: at, altered: at,
-		cached: map[string]placement.Tier{}, loaded: map[string]bool{}, seen: map[string]bool{},
+	o := &observedServer{
+		server: a.GetServer(), sequence: a.GetSequence(), lastSeen: lastSeen, announcedAt: lastSeen,
+		cached: map[string]placement.Tier{}, loaded: map[string]bool{}, everLoaded: map[string]bool{},
 	}
 	if same {
-		h.seen = old.seen
+		o.everLoaded = old.everLoaded
 	}
 	for _, c := range a.GetCached() {
-		h.cached[c.GetTarget()] = placement.Tier(c.GetTier())
+		o.cached[c.GetTarget()] = placement.Tier(c.GetTier())
 	}
 	for _, t := range a.GetLoaded() {
-		h.loaded[t] = true
-		h.seen[t] = true
+		o.loaded[t] = true
+		o.everLoaded[t] = true
 	}
-	f.servers[name] = h
-	return h.server
+	st.servers[name] = o
+	return o.server
 }
 
-// vanishedAfter is how long an engine must not report a replica that it once
-// reported; announcements lag behind orders.
-const vanishedAfter = 3 * time.Second
+// missingTimeout is how long a replica that an engine once reported must be absent
+// from its announcements before it counts as missing: announcements lag behind
+// orders.
+const missingTimeout = 3 * time.Second
 
-// vanished reports whether an engine that reported a replica since it was loaded
-// has stopped to do so.
-func (f *fleet) vanished(res *schema.Reservation, now time.Time) bool {
-	h := f.servers[res.GetServer()]
-	if h == nil || h.server.GetIncarnation() != res.GetIncarnation() || h.loaded[res.GetTarget()] {
+// lacksReplica reports whether an engine that once reported a replica has no longer
+// reported it for missingTimeout.
+func (st *observedState) lacksReplica(res *schema.Reservation, now time.Time) bool {
+	o := st.servers[res.GetServer()]
+	if o == nil || o.server.GetIncarnation() != res.GetIncarnation() || o.loaded[res.GetTarget()] {
 		return false
 	}
-	since := later(h.altered, time.UnixMilli(res.GetChangedMs()))
-	return h.seen[res.GetTarget()] && h.at.Sub(since) > vanishedAfter && now.Sub(since) > vanishedAfter
+	since := later(o.announcedAt, time.UnixMilli(res.GetChangedMs()))
+	return o.everLoaded[res.GetTarget()] && o.lastSeen.Sub(since) > missingTimeout && now.Sub(since) > missingTimeout
 }
 
-// want takes in an entry's word on a target; base is the target's base model, if
-// it is an adapter.
-func (f *fleet) want(entry string, d *schema.Demand, base string, now time.Time) {
+// handleDemand records an entry's demand for a target. base is the target's base
+// model if it is an adapter, or "".
+func (st *observedState) handleDemand(entry string, d *schema.Demand, base string, now time.Time) {
 	target := d.GetTarget()
-	if f.demands[entry] == nil {
-		f.demands[entry] = map[string]entryDemand{}
+	if st.demands[entry] == nil {
+		st.demands[entry] = map[string]entryDemand{}
 	}
-	f.demands[entry][target] = entryDemand{d, now}
+	st.demands[entry][target] = entryDemand{d, now}
 	if d.GetReturning() > 0 {
-		f.returns[target] = now
+		st.retriesReported[target] = now
 	}
-	// A request for an adapter needs its base as well: the base is used and
-	// learnt about with every one of its adapters.
+	// A request for an adapter needs its base model as well, so its arrival and
+	// use also count for the base.
 	for _, t := range []string{target, base} {
 		if t == "" {
 			continue
 		}
 		if d.GetArrived() > 0 {
-			f.pattern(t, now).RecordArrival(now)
+			st.pattern(t, now).RecordArrival(now)
 		}
 		if d.GetArrived() > 0 || d.GetWaiting() > 0 || d.GetRunning() > 0 {
-			f.used[t] = now
+			st.lastUsed[t] = now
 		}
 	}
 }
 
-func (f *fleet) pattern(target string, now time.Time) *placement.ArrivalPattern {
-	p, ok := f.patterns[target]
+// pattern returns a target's arrival pattern, creating it if needed.
+func (st *observedState) pattern(target string, now time.Time) *placement.ArrivalPattern {
+	p, ok := st.patterns[target]
 	if !ok {
 		p = placement.NewArrivalPattern(now)
-		f.patterns[target] = p
+		st.patterns[target] = p
 	}
 	return p
 }
 
-// totals joins the entries' words and forgets old ones.
-func (f *fleet) totals(now time.Time) (waiting map[string]placement.Demand, running map[string]int) {
+// totalDemands returns the demand and the running requests of all entries by
+// target, and removes expired reports.
+func (st *observedState) totalDemands(now time.Time) (waiting map[string]placement.Demand, running map[string]int) {
 	waiting, running = map[string]placement.Demand{}, map[string]int{}
-	for entry, demands := range f.demands {
+	for entry, demands := range st.demands {
 		for target, e := range demands {
-			if now.Sub(e.at) > demandLife {
+			if now.Sub(e.receivedAt) > demandTTL {
 				delete(demands, target)
 				continue
 			}
 			running[target] += int(e.demand.GetRunning())
-			waiting[target] = join(waiting[target], e)
+			waiting[target] = mergeDemand(waiting[target], e)
 		}
 		if len(demands) == 0 {
-			delete(f.demands, entry)
+			delete(st.demands, entry)
 		}
 	}
-	for target, at := range f.returns {
-		if now.Sub(at) > returnLife {
-			delete(f.returns, target)
+	for target, at := range st.retriesReported {
+		if now.Sub(at) > retryTTL {
+			delete(st.retriesReported, target)
 			continue
 		}
 		d := waiting[target]
@@ -176,64 +185,68 @@
 	return waiting, running
 }
 
-func join(d placement.Demand, e entryDemand) placement.Demand {
+// mergeDemand adds an entry's demand to a sum over entries.
+func mergeDemand(d placement.Demand, e entryDemand) placement.Demand {
 	d.Waiting += int(e.demand.GetWaiting())
 	d.Priority = max(d.Priority, e.demand.GetPriority())
 	if e.demand.GetWaiting() == 0 {
 		return d
 	}
-	first := e.at.Add(time.Duration(e.demand.GetFirstDeadlineMs()) * time.Millisecond)
+	first := e.receivedAt.Add(time.Duration(e.demand.GetFirstDeadlineMs()) * time.Millisecond)
 	if d.EarliestDeadline.IsZero() || first.Before(d.EarliestDeadline) {
 		d.EarliestDeadline = first
 	}
 	return d
 }
 
-// input builds what placement decides on.
-func (f *fleet) input(now time.Time, r *ledger.Records, busy map[uint64]bool) placement.Input {
-	demands, running := f.totals(now)
-	in := placement.Input{Now: now, Demands: demands, Pattern: func(t string) *placement.ArrivalPattern { return f.patterns[t] }}
+// placementInput builds the input of a placement decision from the records and the
+// soft state. A loaded replica whose reservation is busy counts as unloading.
+func (st *observedState) placementInput(now time.Time, r *ledger.Records, busy map[uint64]bool) placement.Input {
+	demands, running := st.totalDemands(now)
+	in := placement.Input{Now: now, Demands: demands, Pattern: func(t string) *placement.ArrivalPattern { return st.patterns[t] }}
 	for _, s := range r.Servers() {
 		if s.GetKind() == schema.ServerKind_SERVER_KIND_ENGINE {
-			in.Servers = append(in.Servers, f.engine(now, s))
+			in.Servers = append(in.Servers, st.placementServer(now, s))
 		}
 	}
 	in.Pinned = r.Pinned()
 	for _, res := range r.Reservations() {
-		rep := replicaOf(res)
-		rep.LastUsed = later(f.used[res.GetTarget()], rep.Since)
+		rep := placementReplica(res)
+		rep.LastUsed = later(st.lastUsed[res.GetTarget()], rep.Since)
 		rep.Running = running[res.GetTarget()]
 		if busy[res.GetNumber()] && rep.State == placement.StateLoaded {
 			rep.State = placement.StateUnloading
 		}
 		in.Replicas = append(in.Replicas, rep)
 	}
-	in.Model = func(name string) (placement.Model, bool) { return modelOf(r.Model(name)) }
+	in.Model = func(name string) (placement.Model, bool) { return placementModel(r.Model(name)) }
 	return in
 }
 
-func (f *fleet) engine(now time.Time, s *schema.Server) placement.Server {
+// placementServer returns an engine as placement sees it: without cached checkpoints
+// and not usable if nothing of its recorded incarnation was observed.
+func (st *observedState) placementServer(now time.Time, s *schema.Server) placement.Server {
 	out := placement.Server{
 		Name: s.GetName(), Incarnation: s.GetIncarnation(), DataCentre: s.GetDataCentre(),
 		Accelerators: s.GetAcceleratorMib(), Leaving: s.GetLeaving(), Lost: s.GetLost(),
 	}
-	h := f.servers[s.GetName()]
-	if h == nil || h.server.GetIncarnation() != s.GetIncarnation() {
+	o := st.servers[s.GetName()]
+	if o == nil || o.server.GetIncarnation() != s.GetIncarnation() {
 		return out
 	}
-	out.Cached = h.cached
-	out.Usable = !s.GetLeaving() && !s.GetLost() && now.Sub(h.at) < quietAfter
+	out.Cached = o.cached
+	out.Usable = !s.GetLeaving() && !s.GetLost() && now.Sub(o.lastSeen) < silenceTimeout
 	return out
 }
 
-func modelOf(m *schema.Model) (placement.Model, bool) {
+func placementModel(m *schema.Model) (placement.Model, bool) {
 	return placement.Model{
 		Name: m.GetName(), Version: m.GetVersion(), Base: m.GetBase(), MemoryMiB: m.GetMemoryMib(),
 		MinReplicas: int(m.GetMinReplicas()), MaxReplicas: int(m.GetMaxReplicas()),
 	}, m != nil
 }
 
-func replicaOf(r *schema.Reservation) placement.Replica {
+func placementReplica(r *schema.Reservation) placement.Replica {
 	out := placement.Replica{
 		Number: r.GetNumber(), Target: r.GetTarget(), Version: r.GetVersion(), Server: r.GetServer(),
 		Accelerator: int(r.GetAccelerator()), MemoryMiB: r.GetMemoryMib(),
--- a/internal/order/orders.go
+++ b/internal/order/orders.go
@@ -13,10 +13,10 @@
 	"fennelyard/internal/schema"
 )
 
-// adopt takes over the orders that nobody works on: those of former leaders,
-// and those whose reserve command was committed without an answer. Each gets a
-// new fencing number before it is given again, so that a late answer to a
-// former order changes nothing. d.mu is held.
+// adopt resumes the orders of at least the given age that no goroutine processes:
+// those of former leaders, and those whose reserve command was committed without a
+// reply. Each gets a new fencing token before it is sent again, so that a late reply
+// to a former order has no effect. d.mu is held.
 func (d *Driver) adopt(now time.Time, r *ledger.Records, age time.Duration) {
 	for _, res := range r.Reservations() {
 		loaded := res.GetState() == schema.ReservationState_RESERVATION_STATE_LOADED
@@ -25,25 +25,26 @@
 		}
 		d.busy[res.GetNumber()] = true
 		d.spawn(func(ctx context.Context) {
-			defer d.free(ctx, res.GetNumber())
-			if next := d.move(ctx, res, schema.ReservationMove_RESERVATION_MOVE_REORDERED); next != nil {
-				d.run(ctx, next)
+			defer d.finish(ctx, res.GetNumber())
+			if next := d.moveReservation(ctx, res, schema.ReservationMove_RESERVATION_MOVE_REORDERED); next != nil {
+				d.runOrder(ctx, next)
 			}
 		})
 	}
 }
 
-func (d *Driver) load(ctx context.Context, key reserveKey, decision placement.Decision) {
+func (d *Driver) load(ctx context.Context, key acceleratorKey, decision placement.Decision) {
 	res := d.reserve(ctx, key, decision)
 	if res == nil {
 		return
 	}
-	defer d.free(ctx, res.GetNumber())
-	d.run(ctx, res)
+	defer d.finish(ctx, res.GetNumber())
+	d.runOrder(ctx, res)
 }
 
-// reserve commits the reservation that must stand before the order leaves.
-func (d *Driver) reserve(ctx context.Context, key reserveKey, decision placement.Decision) *schema.Reservation {
+// reserve commits the reservation, which must be committed before the order is sent.
+// It returns nil if the commit was not confirmed or was refused.
+func (d *Driver) reserve(ctx context.Context, key acceleratorKey, decision placement.Decision) *schema.Reservation {
 	result, err := d.commit(ctx, &schema.Command{Body: &schema.Command_Reserve{Reserve: &schema.Reserve{
 		Target: decision.Target, Server: decision.Server, Incarnation: decision.Incarnation,
 		Accelerator: uint32(decision.Accelerator), ReadyMs: decision.ReadyAt.UnixMilli(),
@@ -55,8 +56,8 @@
 	}
 	delete(d.reserving, key)
 	if err != nil {
-		// It may be committed all the same. Its reservation then has no order;
-		// adopt finds it.
+		// The command may be committed nevertheless. Its reservation then has no
+		// order, and adopt resumes it.
 		d.cfg.Log.Info("reservation not confirmed", "target", decision.Target, "reason", err.Error())
 		return nil
 	}
@@ -72,51 +73,52 @@
 }
 
 func (d *Driver) unload(ctx context.Context, decision placement.Decision) {
-	defer d.free(ctx, decision.Replica)
+	defer d.finish(ctx, decision.Replica)
 	var res *schema.Reservation
 	d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) { res = r.Reservation(decision.Replica) })
 	if res == nil {
 		return
 	}
-	next := d.move(ctx, res, schema.ReservationMove_RESERVATION_MOVE_UNLOADING)
+	next := d.moveReservation(ctx, res, schema.ReservationMove_RESERVATION_MOVE_UNLOADING)
 	if next == nil {
 		return
 	}
 	d.cfg.Log.Info("unload decided", "target", res.GetTarget(), "server", res.GetServer(),
 		"reservation", res.GetNumber(), "reason", decision.Reason)
-	d.run(ctx, next)
+	d.runOrder(ctx, next)
 }
 
-// run gives a reservation's order until the engine has answered it, the server
-// has a new incarnation, or the leadership ends. Silence proves nothing and
+// runOrder sends a reservation's order until the engine has replied, the server has a
+// new incarnation, or the leadership ends. A missing reply proves nothing, so it
 // releases nothing.
-func (d *Driver) run(ctx context.Context, res *schema.Reservation) {
-	ctx, span := d.span(ctx, "order", res)
+func (d *Driver) runOrder(ctx context.Context, res *schema.Reservation) {
+	ctx, span := d.startSpan(ctx, "order", res)
 	defer span.End()
 	began := d.cfg.Now()
 	for ctx.Err() == nil && res != nil {
-		server := d.serverOf(res)
+		server := d.reservedServer(res)
 		if server == nil {
 			return
 		}
-		d.awaitFlights(ctx, server, res)
-		reply, err := d.give(ctx, server, res)
+		d.awaitInFlight(ctx, server, res)
+		reply, err := d.sendOrder(ctx, server, res)
 		if err != nil {
 			d.cfg.Log.V(1).Info("order without answer", "reservation", res.GetNumber(), "reason", err.Error())
-			d.sleep(ctx, orderRetry)
+			d.sleep(ctx, orderRetryDelay)
 			continue
 		}
-		res = d.settle(ctx, res, reply, began)
+		res = d.handleReply(ctx, res, reply, began)
 	}
 }
 
-// serverOf returns the server under the incarnation that the reservation is
-// for, or nil when the reservation is gone.
-func (d *Driver) serverOf(res *schema.Reservation) *schema.Server {
+// reservedServer returns the server that a reservation is for, or nil if the
+// reservation has ended or has another fencing token, or the server has another
+// incarnation.
+func (d *Driver) reservedServer(res *schema.Reservation) *schema.Server {
 	var s *schema.Server
 	d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) {
-		now := r.Reservation(res.GetNumber())
-		if now != nil && now.GetFencing() == res.GetFencing() {
+		current := r.Reservation(res.GetNumber())
+		if current != nil && current.GetFencing() == res.GetFencing() {
 			s = r.Server(res.GetServer())
 		}
 	})
@@ -126,56 +128,56 @@
 	return s
 }
 
-// give confirms the leadership right before the order is written. A leader that
-// was frozen in between and wakes up deposed can still write it; it is reserved
-// by then, so its successor counts it.
-func (d *Driver) give(ctx context.Context, s *schema.Server, res *schema.Reservation) (*schema.OrderReply, error) {
-	confirm, cancel := context.WithTimeout(ctx, commitWait)
+// sendOrder confirms the leadership directly before it sends the order. A leader that
+// is paused in between and resumes after it was deposed can still send the order;
+// the reservation is committed by then, so the next leader accounts for it.
+func (d *Driver) sendOrder(ctx context.Context, s *schema.Server, res *schema.Reservation) (*schema.OrderReply, error) {
+	confirm, cancel := context.WithTimeout(ctx, commitTimeout)
 	err := d.cfg.ConfirmLeadership(confirm)
 	cancel()
 	if err != nil {
 		return nil, err
 	}
 	expected := time.UnixMilli(res.GetReadyMs()).Sub(d.cfg.Now())
-	ctx, cancel = context.WithTimeout(ctx, max(minOrderWait, orderWaitTimes*expected))
+	ctx, cancel = context.WithTimeout(ctx, max(minOrderTimeout, orderTimeoutFactor*expected))
 	defer cancel()
-	o := d.orderOf(res)
-	// One span for each time the order is given: load or unload.
-	ctx, span := d.span(ctx, o.GetKind(), res)
+	o := d.newOrder(res)
+	// Each attempt to send the order has its own span, named load or unload.
+	ctx, span := d.startSpan(ctx, o.GetKind(), res)
 	defer span.End()
 	reply, err := d.cfg.SendOrder(ctx, s.GetAddress(), o)
 	if err == nil && reply.GetIncarnation() != res.GetIncarnation() {
-		// The engine restarted before its announcement was recorded. What the
-		// new process did says nothing about the one that was reserved for.
-		err = errors.Newf("incarnation %d answered, not %d", reply.GetIncarnation(), res.GetIncarnation())
+		// The engine restarted before its announcement was recorded. The reply of
+		// the new process proves nothing about the reserved incarnation.
+		err = errors.Newf("reply is from incarnation %d, want %d", reply.GetIncarnation(), res.GetIncarnation())
 	}
 	if err != nil && res.GetState() == schema.ReservationState_RESERVATION_STATE_LOADING {
 		d.mu.Lock()
-		d.inFlight[res.GetNumber()] = d.cfg.Now().Add(flightBound)
+		d.inFlightUntil[res.GetNumber()] = d.cfg.Now().Add(maxFlightTime)
 		d.mu.Unlock()
 	}
 	return reply, err
 }
 
-// mayArrive returns how long an order that got no answer may still arrive: one
-// of this leader's, or one of a former leader's.
-func (d *Driver) mayArrive(res *schema.Reservation) time.Duration {
+// remainingFlightTime returns how long an earlier order for the reservation may still
+// arrive, whether this leader or a former one sent it.
+func (d *Driver) remainingFlightTime(res *schema.Reservation) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	until := later(d.since.Add(flightBound), d.inFlight[res.GetNumber()])
+	until := later(d.termStart.Add(maxFlightTime), d.inFlightUntil[res.GetNumber()])
 	return until.Sub(d.cfg.Now())
 }
 
-// isOnlyOrder reports whether the order that an answer belongs to is the only
-// one that ever left for the reservation.
+// isOnlyOrder reports whether the order in question is the only one that was ever sent
+// for the reservation.
 func (d *Driver) isOnlyOrder(res *schema.Reservation) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, unanswered := d.inFlight[res.GetNumber()]
+	_, unanswered := d.inFlightUntil[res.GetNumber()]
 	return res.GetFencing() == res.GetNumber() && !unanswered
 }
 
-func (d *Driver) orderOf(res *schema.Reservation) *schema.Order {
+func (d *Driver) newOrder(res *schema.Reservation) *schema.Order {
 	kind := engine.KindLoad
 	if res.GetState() == schema.ReservationState_RESERVATION_STATE_UNLOADING {
 		kind = engine.KindUnload
@@ -189,80 +191,81 @@
 	}
 }
 
-// settle records what an engine's answer proves. It returns the reservation to
-// go on with, or nil when there is nothing left to do.
-func (d *Driver) settle(ctx context.Context, res *schema.Reservation,
+// handleReply records the result that an engine's reply proves. It returns the
+// reservation to continue with, or nil if the order is finished.
+func (d *Driver) handleReply(ctx context.Context, res *schema.Reservation,
 	reply *schema.OrderReply, began time.Time,
 ) *schema.Reservation {
 	loading := res.GetState() == schema.ReservationState_RESERVATION_STATE_LOADING
 	done := reply.GetOutcome() == engine.OutcomeDone
 	switch {
 	case reply.GetOutcome() == engine.OutcomeRefused:
-		// A newer leader's number is known to the engine, or its incarnation
-		// is another: the ledger will say which.
+		// The engine knows a newer leader's fencing token, or it has another
+		// incarnation. The next iteration finds out from the ledger.
 		d.cfg.Log.Info("order refused", "reservation", res.GetNumber(), "reason", reply.GetReason())
-		d.sleep(ctx, orderRetry)
+		d.sleep(ctx, orderRetryDelay)
 		return res
 	case loading && done:
-		d.learn(res, began, true)
-		d.move(ctx, res, schema.ReservationMove_RESERVATION_MOVE_LOADED)
+		d.recordLoad(res, began, true)
+		d.moveReservation(ctx, res, schema.ReservationMove_RESERVATION_MOVE_LOADED)
 		return nil
 	case loading:
-		d.learn(res, began, false)
+		d.recordLoad(res, began, false)
 		d.cfg.Log.Info("load failed", "reservation", res.GetNumber(), "target", res.GetTarget(),
 			"server", res.GetServer(), "reason", reply.GetReason())
-		return d.afterFailedLoad(ctx, res)
+		return d.handleFailedLoad(ctx, res)
 	case done:
-		d.drop(ctx, res)
+		d.release(ctx, res)
 		return nil
 	}
 	d.cfg.Log.Info("unload failed", "reservation", res.GetNumber(), "reason", reply.GetReason())
-	d.sleep(ctx, orderRetry)
+	d.sleep(ctx, orderRetryDelay)
 	return res
 }
 
-// afterFailedLoad releases at once only when the failed order was the only one
-// that ever left for the reservation. Another copy of it may still arrive and
-// succeed; an unload under a new number then makes sure.
-func (d *Driver) afterFailedLoad(ctx context.Context, res *schema.Reservation) *schema.Reservation {
+// handleFailedLoad releases the reservation at once only if the failed order was the
+// only one that was ever sent for it. Otherwise another copy may still arrive and
+// succeed, so an unload with a new fencing token must come first.
+func (d *Driver) handleFailedLoad(ctx context.Context, res *schema.Reservation) *schema.Reservation {
 	if !d.isOnlyOrder(res) {
-		return d.move(ctx, res, schema.ReservationMove_RESERVATION_MOVE_UNLOADING)
+		return d.moveReservation(ctx, res, schema.ReservationMove_RESERVATION_MOVE_UNLOADING)
 	}
-	d.drop(ctx, res)
+	d.release(ctx, res)
 	return nil
 }
 
-// awaitFlights holds an unload back until no load order for the reservation can
-// arrive any more. An engine that ignores fencing numbers would carry out a late
-// one after the unload, and the memory would be reserved again while it is full.
-func (d *Driver) awaitFlights(ctx context.Context, s *schema.Server, res *schema.Reservation) {
+// awaitInFlight delays an unload until no load order for the reservation can arrive
+// any more. An engine that ignores fencing tokens would execute a late load after the
+// unload, and the memory would be reserved again while it is in use.
+func (d *Driver) awaitInFlight(ctx context.Context, s *schema.Server, res *schema.Reservation) {
 	if s.GetChecksFencing() || res.GetState() != schema.ReservationState_RESERVATION_STATE_UNLOADING {
 		return
 	}
-	if wait := d.mayArrive(res); wait > 0 {
+	if wait := d.remainingFlightTime(res); wait > 0 {
 		d.sleep(ctx, wait)
 	}
 }
 
-func (d *Driver) drop(ctx context.Context, res *schema.Reservation) {
+// release ends a reservation and frees its memory.
+func (d *Driver) release(ctx context.Context, res *schema.Reservation) {
 	if ctx.Err() != nil {
 		return
 	}
-	d.move(ctx, res, schema.ReservationMove_RESERVATION_MOVE_RELEASED)
+	d.moveReservation(ctx, res, schema.ReservationMove_RESERVATION_MOVE_RELEASED)
 	d.cfg.Log.Info("replica released", "reservation", res.GetNumber(), "target", res.GetTarget(), "server", res.GetServer())
 }
 
-// move commits a change of state and returns the changed reservation, or nil
-// when the ledger refused it, released it, or the leadership ended. It repeats
-// a command without an answer: the fencing number and the state make the
-// repetition of a committed move void.
-func (d *Driver) move(ctx context.Context, res *schema.Reservation, m schema.ReservationMove) *schema.Reservation {
+// moveReservation commits a state change and returns the changed reservation, or nil
+// if the ledger refused the change or released the reservation, or the leadership
+// ended. A command without a reply is retried: the fencing token and the state make
+// the retry of a committed command a no-op.
+func (d *Driver) moveReservation(ctx context.Context, res *schema.Reservation, m schema.ReservationMove) *schema.Reservation {
 	for ctx.Err() == nil {
 		result, err := d.commit(ctx, &schema.Command{Body: &schema.Command_MoveReservation{MoveReservation: &schema.MoveReservation{
 			Number: res.GetNumber(), Fencing: res.GetFencing(), Move: m,
 		}}})
 		if err != nil {
-			d.sleep(ctx, roundEvery)
+			d.sleep(ctx, roundInterval)
 			continue
 		}
 		if result.GetCode() != schema.ResultCode_RESULT_CODE_OK {
@@ -270,18 +273,19 @@
 			return nil
 		}
 		d.mu.Lock()
-		d.poke()
+		d.requestRound()
 		d.mu.Unlock()
 		return result.GetReservation()
 	}
 	return nil
 }
 
-func (d *Driver) learn(res *schema.Reservation, began time.Time, ok bool) {
+// recordLoad records the duration of a load, as a speed sample if it succeeded.
+func (d *Driver) recordLoad(res *schema.Reservation, began time.Time, ok bool) {
 	d.mu.Lock()
 	tier := placement.TierRemote
-	if h := d.fleet.servers[res.GetServer()]; h != nil {
-		tier = h.cached[res.GetTarget()]
+	if s := d.observed.servers[res.GetServer()]; s != nil {
+		tier = s.cached[res.GetTarget()]
 	}
 	took := d.cfg.Now().Sub(began)
 	if ok {
@@ -293,6 +297,7 @@
 	}
 }
 
+// sleep waits for a duration and returns false if the context ends first.
 func (d *Driver) sleep(ctx context.Context, t time.Duration) bool {
 	timer := time.NewTimer(t)
 	defer timer.Stop()
@@ -304,8 +309,8 @@
 	}
 }
 
-// sameServer compares what a server says of itself; being lost is the leader's
-// own word, and a server that is heard is not lost.
+// sameServer reports whether an announced server equals its record, the lost flag
+// included: the leader sets it, and a server that announces itself is not lost.
 func sameServer(a, b *schema.Server) bool {
 	return proto.Equal(a, b)
 }
--- a/internal/order/reports.go
+++ b/internal/order/reports.go
@@ -10,49 +10,51 @@
 	"fennelyard/internal/schema"
 )
 
-// dropVanished orders an unload of replicas that an engine held and no longer
-// reports, to have it proved that they are gone. Callers would otherwise be sent
-// to a replica that is not there for as long as the engine lives.
-func (d *Driver) dropVanished(now time.Time) {
-	var gone []*schema.Reservation
+// unloadMissing orders the unload of replicas that an engine once reported and no
+// longer reports; the engine's reply confirms that they are gone. Otherwise requests
+// would be routed to a missing replica until the engine restarts.
+func (d *Driver) unloadMissing(now time.Time) {
+	var missing []*schema.Reservation
 	d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) {
 		for _, res := range r.Reservations() {
 			loaded := res.GetState() == schema.ReservationState_RESERVATION_STATE_LOADED
-			if loaded && d.fleet.vanished(res, now) {
-				gone = append(gone, res)
+			if loaded && d.observed.lacksReplica(res, now) {
+				missing = append(missing, res)
 			}
 		}
 	})
-	for _, res := range gone {
-		d.act(placement.Decision{
+	for _, res := range missing {
+		d.execute(placement.Decision{
 			Kind: placement.KindUnload, Target: res.GetTarget(), Server: res.GetServer(), Replica: res.GetNumber(),
 			Reason: "the engine no longer reports it",
 		})
 	}
 }
 
-// noteLost records servers that nobody has heard of; d.mu is held.
-func (d *Driver) noteLost(now time.Time, r *ledger.Records) {
+// recordLost records servers as lost that have been silent for lostTimeout, counted
+// at the earliest from the start of the term; d.mu is held.
+func (d *Driver) recordLost(now time.Time, r *ledger.Records) {
 	for _, s := range r.Servers() {
-		h := d.fleet.servers[s.GetName()]
-		heardAt := d.since
-		if h != nil && h.server.GetIncarnation() == s.GetIncarnation() {
-			heardAt = later(heardAt, h.at)
+		o := d.observed.servers[s.GetName()]
+		lastSeen := d.termStart
+		if o != nil && o.server.GetIncarnation() == s.GetIncarnation() {
+			lastSeen = later(lastSeen, o.lastSeen)
 		}
-		if !s.GetLost() && now.Sub(heardAt) > lostAfter {
+		if !s.GetLost() && now.Sub(lastSeen) > lostTimeout {
 			lost := cloneServer(s)
 			lost.Lost = true
-			d.put(lost)
+			d.recordServer(lost)
 		}
 	}
 }
 
-// put records a server's change; d.mu is held.
-func (d *Driver) put(s *schema.Server) {
-	if d.putting[s.GetName()] {
+// recordServer commits a server's new record unless a commit for this server is
+// pending; d.mu is held.
+func (d *Driver) recordServer(s *schema.Server) {
+	if d.recording[s.GetName()] {
 		return
 	}
-	d.putting[s.GetName()] = true
+	d.recording[s.GetName()] = true
 	d.spawn(func(ctx context.Context) {
 		_, err := d.commit(ctx, &schema.Command{Body: &schema.Command_PutServer{PutServer: &schema.PutServer{Server: s}}})
 		d.mu.Lock()
@@ -60,72 +62,76 @@
 		if ctx.Err() != nil {
 			return
 		}
-		delete(d.putting, s.GetName())
+		delete(d.recording, s.GetName())
 		if err == nil {
 			d.cfg.Log.Info("server recorded", "server", s.GetName(), "incarnation", s.GetIncarnation(),
 				"leaving", s.GetLeaving(), "lost", s.GetLost())
 		}
-		d.poke()
+		d.requestRound()
 	})
 }
 
-// HandleReport takes in an entry's soft state and answers with forecasts.
-func (d *Driver) HandleReport(q *schema.Report) *schema.ReportReply {
+// HandleReport applies an entry's report and returns forecasts for the targets that
+// have waiting requests.
+func (d *Driver) HandleReport(report *schema.Report) *schema.ReportReply {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.follow() {
+	if !d.refreshLeadership() {
 		return &schema.ReportReply{NotLeader: true}
 	}
 	now := d.cfg.Now()
-	for _, a := range q.GetAnnouncements() {
-		if s := d.fleet.hear(a, now); s != nil {
-			d.compare(s)
+	for _, a := range report.GetAnnouncements() {
+		if s := d.observed.handleAnnouncement(a, now); s != nil {
+			d.recordIfChanged(s)
 		}
 	}
-	pressing := false
-	for _, dm := range q.GetDemands() {
-		d.fleet.want(q.GetEntry(), dm, d.baseOf(dm.GetTarget()), now)
-		pressing = pressing || dm.GetWaiting() > 0
+	waiting := false
+	for _, dm := range report.GetDemands() {
+		d.observed.handleDemand(report.GetEntry(), dm, d.baseModel(dm.GetTarget()), now)
+		waiting = waiting || dm.GetWaiting() > 0
 	}
-	d.dirty = d.dirty || pressing
-	if pressing && (now.Sub(d.lastRound) >= roundGap || d.unforeseen(q.GetDemands())) {
-		d.round()
+	d.dirty = d.dirty || waiting
+	if waiting && (now.Sub(d.lastRound) >= minRoundGap || d.lacksForecast(report.GetDemands())) {
+		d.runRound()
 	}
 	out := &schema.ReportReply{}
-	for _, dm := range q.GetDemands() {
+	for _, dm := range report.GetDemands() {
 		if f, ok := d.forecasts[dm.GetTarget()]; ok && dm.GetWaiting() > 0 {
-			out.Forecasts = append(out.Forecasts, forecastOf(dm.GetTarget(), f, now))
+			out.Forecasts = append(out.Forecasts, newForecast(dm.GetTarget(), f, now))
 		}
 	}
 	return out
 }
 
-func (d *Driver) baseOf(target string) string {
+// baseModel returns the base model of an adapter, or "".
+func (d *Driver) baseModel(target string) string {
 	base := ""
 	d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) { base = r.Model(target).GetBase() })
 	return base
 }
 
-// unforeseen reports whether the last round did not look at one of the targets.
-func (d *Driver) unforeseen(demands []*schema.Demand) bool {
+// lacksForecast reports whether a target with waiting requests has no forecast of the
+// last round.
+func (d *Driver) lacksForecast(demands []*schema.Demand) bool {
 	return slices.ContainsFunc(demands, func(x *schema.Demand) bool {
-		_, seen := d.forecasts[x.GetTarget()]
-		return x.GetWaiting() > 0 && !seen
+		_, ok := d.forecasts[x.GetTarget()]
+		return x.GetWaiting() > 0 && !ok
 	})
 }
 
-func forecastOf(target string, f placement.Forecast, now time.Time) *schema.Forecast {
+func newForecast(target string, f placement.Forecast, now time.Time) *schema.Forecast {
 	if !f.Possible {
 		return &schema.Forecast{Target: target, ReadyInMs: -1, Reason: f.Reason}
 	}
 	return &schema.Forecast{Target: target, ReadyInMs: max(f.ReadyAt.Sub(now).Milliseconds(), 0)}
 }
 
-// compare records a server whose announcement differs from its record.
-func (d *Driver) compare(s *schema.Server) {
+// recordIfChanged records a server whose announcement differs from its record;
+// d.mu is held.
+func (d *Driver) recordIfChanged(s *schema.Server) {
 	var old *schema.Server
 	d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) { old = r.Server(s.GetName()) })
 	if old == nil || !sameServer(old, s) && s.GetIncarnation() >= old.GetIncarnation() {
-		d.put(s)
+		d.recordServer(s)
 	}
 }
