--- a/internal/host/export_test.go
+++ b/internal/host/export_test.go
@@ -2,7 +2,8 @@
 
 import "fennelyard/internal/ledger"
 
-// Suspects returns how many requests the log names under which servers ended.
+// Suspects returns how many requests the control log records as suspect, because
+// servers ended while they ran them.
 func (h *Host) Suspects() (n int) {
 	h.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) { n = len(r.KnownSuspects()) })
 	return n
--- a/internal/host/harness_test.go
+++ b/internal/host/harness_test.go
@@ -24,60 +24,61 @@
 )
 
 const (
-	bedCustomer = "kapiti"
-	bedModel    = "sorter"
-	bedService  = "regdesk"
-	bedWait     = 30 * time.Second
+	testCustomer = "kapiti"
+	testModel    = "sorter"
+	testService  = "regdesk"
+	testTimeout  = 30 * time.Second
 )
 
-// bed is one host with both roles and fakes at its interfaces.
-type bed struct {
-	t      testing.TB
-	layout *demo.Layout
-	host   *host.Host
-	tracer trace.Tracer
-	oper   *operator.Client
+// harness runs one host with both roles and with simulated backend servers.
+type harness struct {
+	t        testing.TB
+	layout   *demo.Layout
+	host     *host.Host
+	tracer   trace.Tracer
+	operator *operator.Client
 }
 
-func newBed(t testing.TB, extra string) *bed {
+func newHarness(t testing.TB, extra string) *harness {
 	t.Helper()
-	return newTracedBed(t, extra, nil)
+	return newTracedHarness(t, extra, nil)
 }
 
-func newTracedBed(t testing.TB, extra string, tracer trace.Tracer) *bed {
+func newTracedHarness(t testing.TB, extra string, tracer trace.Tracer) *harness {
 	t.Helper()
 	layout, err := demo.NewLayout(1, 1, t.TempDir(), extra)
 	require.NoError(t, err)
-	b := &bed{t: t, layout: layout, tracer: tracer, oper: operator.NewClient(layout.Hosts()[0].Operator)}
-	b.start()
-	t.Cleanup(func() { b.host.Close() })
-	return b
+	h := &harness{t: t, layout: layout, tracer: tracer, operator: operator.NewClient(layout.Hosts()[0].Operator)}
+	h.start()
+	t.Cleanup(func() { h.host.Close() })
+	return h
 }
 
-func (b *bed) start() {
-	b.t.Helper()
-	s, err := settings.Parse("bed.yaml", []byte(b.layout.YAML("host-1")))
-	require.NoError(b.t, err)
-	b.host, err = host.New(host.Config{Settings: s, Tracer: b.tracer})
-	require.NoError(b.t, err)
-	b.eventually("a ready host", b.host.Ready)
+func (h *harness) start() {
+	h.t.Helper()
+	s, err := settings.Parse("bed.yaml", []byte(h.layout.YAML("host-1")))
+	require.NoError(h.t, err)
+	h.host, err = host.New(host.Config{Settings: s, Tracer: h.tracer})
+	require.NoError(h.t, err)
+	h.eventually("a ready host", h.host.Ready)
 }
 
-// restart stops the host at once and starts it from its disk.
-func (b *bed) restart() {
-	b.host.Close()
-	b.start()
+// restart stops the host without draining and starts it again from its disk.
+func (h *harness) restart() {
+	h.host.Close()
+	h.start()
 }
 
-func (b *bed) eventually(what string, holds func() bool) {
-	b.t.Helper()
-	limit := time.After(bedWait)
+// eventually waits until a condition holds and fails the test after testTimeout.
+func (h *harness) eventually(what string, condition func() bool) {
+	h.t.Helper()
+	limit := time.After(testTimeout)
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-limit:
-			require.Fail(b.t, "did not come to pass: "+what)
+			require.Fail(h.t, "condition not met: "+what)
 		case <-ticker.C:
 		}
 	}
@@ -90,122 +91,124 @@
 	return l
 }
 
-func (b *bed) engine(name string, alter func(*standin.EngineConfig)) *standin.Engine {
-	b.t.Helper()
+func (h *harness) engine(name string, configure func(*standin.EngineConfig)) *standin.Engine {
+	h.t.Helper()
 	cfg := standin.EngineConfig{
-		Listener: listen(b.t), Name: name, DataCentre: "hall-a", Entries: b.layout.Backends(),
+		Listener: listen(h.t), Name: name, DataCentre: "hall-a", Entries: h.layout.Backends(),
 		AcceleratorMiB: []uint64{24576}, ChecksFencing: true,
 	}
-	if alter != nil {
-		alter(&cfg)
+	if configure != nil {
+		configure(&cfg)
 	}
 	e := standin.NewEngine(cfg)
-	b.t.Cleanup(e.Close)
+	h.t.Cleanup(e.Close)
 	return e
 }
 
-func (b *bed) application(name string, alter func(*standin.ApplicationConfig)) *standin.Application {
-	b.t.Helper()
+func (h *harness) application(name string, configure func(*standin.ApplicationConfig)) *standin.Application {
+	h.t.Helper()
 	cfg := standin.ApplicationConfig{
-		Listener: listen(b.t), Name: name, DataCentre: "hall-a", Service: bedService, Entries: b.layout.Backends(),
+		Listener: listen(h.t), Name: name, DataCentre: "hall-a", Service: testService, Entries: h.layout.Backends(),
 	}
-	if alter != nil {
-		alter(&cfg)
+	if configure != nil {
+		configure(&cfg)
 	}
 	a := standin.NewApplication(cfg)
-	b.t.Cleanup(a.Close)
+	h.t.Cleanup(a.Close)
 	return a
 }
 
-func (b *bed) awaitServers(n int) {
-	b.t.Helper()
-	b.eventually(fmt.Sprintf("%d servers", n), func() bool { return len(b.status().GetServers()) == n })
+func (h *harness) awaitServers(n int) {
+	h.t.Helper()
+	h.eventually(fmt.Sprintf("%d servers", n), func() bool { return len(h.status().GetServers()) == n })
 }
 
-func (b *bed) status() *schema.StatusView {
-	s, err := b.oper.Status(context.Background())
+func (h *harness) status() *schema.StatusView {
+	s, err := h.operator.Status(context.Background())
 	if err != nil {
 		return nil
 	}
 	return s
 }
 
-// configure puts the model and the service of these tests in force.
-func (b *bed) configure(replicas uint32) {
-	b.t.Helper()
+// configure applies a configuration with the model and the service of these tests and
+// waits until it is in force.
+func (h *harness) configure(replicas uint32) {
+	h.t.Helper()
 	ctx := context.Background()
-	list, err := b.oper.Intents(ctx)
-	require.NoError(b.t, err)
-	reply, err := b.oper.Apply(ctx, &schema.IntentRequest{
+	list, err := h.operator.Intents(ctx)
+	require.NoError(h.t, err)
+	reply, err := h.operator.Apply(ctx, &schema.IntentRequest{
 		CommandId: "apply", Operator: "ann", BaseRevision: list.GetRevision(), Intent: &schema.Intent{
-			Name: "bed", Customer: &schema.CustomerIntent{Name: bedCustomer},
-			Models:   []*schema.ModelIntent{{Name: bedModel, Version: "1", MemoryMib: 8192, MaxReplicas: replicas}},
-			Services: []*schema.ServiceIntent{{Name: bedService, IdempotentMethods: []string{http.MethodPut}}},
+			Name: "bed", Customer: &schema.CustomerIntent{Name: testCustomer},
+			Models:   []*schema.ModelIntent{{Name: testModel, Version: "1", MemoryMib: 8192, MaxReplicas: replicas}},
+			Services: []*schema.ServiceIntent{{Name: testService, IdempotentMethods: []string{http.MethodPut}}},
 		},
 	})
-	require.NoError(b.t, err)
-	reply, err = b.oper.Decide(ctx, reply.GetPlan().GetNumber(), true, &schema.DecisionRequest{CommandId: "confirm", Operator: "ann"})
-	require.NoError(b.t, err)
-	require.Equal(b.t, "ok", reply.GetResult(), reply.GetReason())
-	b.eventually("the configuration in force", func() bool { return b.status().GetEntryRevision() >= reply.GetRevision() })
+	require.NoError(h.t, err)
+	reply, err = h.operator.Decide(ctx, reply.GetPlan().GetNumber(), true, &schema.DecisionRequest{CommandId: "confirm", Operator: "ann"})
+	require.NoError(h.t, err)
+	require.Equal(h.t, "ok", reply.GetResult(), reply.GetReason())
+	h.eventually("the configuration in force", func() bool { return h.status().GetEntryRevision() >= reply.GetRevision() })
 }
 
-func (b *bed) client() *fennelyard.Client {
+func (h *harness) client() *fennelyard.Client {
 	return fennelyard.NewClient(fennelyard.ClientOptions{
-		Addresses: b.layout.Callers(), Customer: bedCustomer, Deadline: bedWait,
+		Addresses: h.layout.Callers(), Customer: testCustomer, Deadline: testTimeout,
 	})
 }
 
-// burst sends completions from many callers at once; all must be served.
-func (b *bed) burst(callers int) {
-	b.t.Helper()
+// burst sends completions from concurrent callers; all must be served.
+func (h *harness) burst(callers int) {
+	h.t.Helper()
 	var wg sync.WaitGroup
 	for range callers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			_, err := b.client().Complete(context.Background(), []byte(completion(bedModel)))
-			assert.NoError(b.t, err)
+			_, err := h.client().Complete(context.Background(), []byte(completion(testModel)))
+			assert.NoError(h.t, err)
 		}()
 	}
 	wg.Wait()
 }
 
-func (b *bed) url(path string) string { return "http://" + b.layout.Hosts()[0].Caller + path }
+func (h *harness) callerURL(path string) string { return "http://" + h.layout.Hosts()[0].Caller + path }
 
-// cutListener cuts its connections after a number of bytes.
-type cutListener struct {
+// truncatingListener closes each accepted connection after a number of bytes.
+type truncatingListener struct {
 	net.Listener
-	// reads and writes are the bytes that pass before the cut; below 0: all.
-	reads  atomic.Int64
-	writes atomic.Int64
+	// readLimit and writeLimit are the bytes that a connection accepted from now on
+	// transfers before it is closed; negative for no limit.
+	readLimit  atomic.Int64
+	writeLimit atomic.Int64
 }
 
-func newCutListener(t testing.TB) *cutListener {
-	l := &cutListener{Listener: listen(t)}
-	l.reads.Store(-1)
-	l.writes.Store(-1)
+func newTruncatingListener(t testing.TB) *truncatingListener {
+	l := &truncatingListener{Listener: listen(t)}
+	l.readLimit.Store(-1)
+	l.writeLimit.Store(-1)
 	return l
 }
 
-func (l *cutListener) Accept() (net.Conn, error) {
+func (l *truncatingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &cutConn{Conn: c, reads: l.reads.Load(), writes: l.writes.Load()}, nil
+	return &truncatingConn{Conn: c, readLimit: l.readLimit.Load(), writeLimit: l.writeLimit.Load()}, nil
 }
 
-type cutConn struct {
+type truncatingConn struct {
 	net.Conn
-	mu     sync.Mutex
-	reads  int64
-	writes int64
+	mu         sync.Mutex
+	readLimit  int64
+	writeLimit int64
 }
 
-func (c *cutConn) Read(p []byte) (int, error) {
+func (c *truncatingConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	left := c.reads
+	left := c.readLimit
 	c.mu.Unlock()
 	if left == 0 {
 		_ = c.Close()
@@ -217,46 +220,46 @@
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reads > 0 {
-		c.reads -= int64(n)
+	if c.readLimit > 0 {
+		c.readLimit -= int64(n)
 	}
 	return n, err
 }
 
-func (c *cutConn) Write(p []byte) (int, error) {
+func (c *truncatingConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.writes < 0 {
+	if c.writeLimit < 0 {
 		return c.Conn.Write(p)
 	}
-	n := min(int64(len(p)), c.writes)
+	n := min(int64(len(p)), c.writeLimit)
 	_, _ = c.Conn.Write(p[:n])
-	c.writes -= n
-	if c.writes == 0 {
+	c.writeLimit -= n
+	if c.writeLimit == 0 {
 		_ = c.Close()
 		return int(n), net.ErrClosed
 	}
 	return int(n), nil
 }
 
-// silentListener can make its open connections go silent for good: they stay
-// open, take what is sent and bring nothing, while new ones work.
+// silentListener can silence its open connections permanently: they stay open and
+// accept data, but deliver none. New connections work.
 type silentListener struct {
 	net.Listener
-	mu    sync.Mutex
-	epoch chan struct{}
+	mu       sync.Mutex
+	silenced chan struct{}
 }
 
 func newSilentListener(t testing.TB) *silentListener {
-	return &silentListener{Listener: listen(t), epoch: make(chan struct{})}
+	return &silentListener{Listener: listen(t), silenced: make(chan struct{})}
 }
 
-// silence strikes every connection that is open now.
+// silence silences all open connections.
 func (l *silentListener) silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	close(l.epoch)
-	l.epoch = make(chan struct{})
+	close(l.silenced)
+	l.silenced = make(chan struct{})
 }
 
 func (l *silentListener) Accept() (net.Conn, error) {
@@ -266,7 +269,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return &silentConn{Conn: c, silenced: l.epoch, closed: make(chan struct{})}, nil
+	return &silentConn{Conn: c, silenced: l.silenced, closed: make(chan struct{})}, nil
 }
 
 type silentConn struct {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,4 +1,4 @@
-// Package host puts the roles of one host together and runs them.
+// Package host assembles and runs the roles of one host.
 package host
 
 import (
@@ -29,46 +29,46 @@
 	"fennelyard/internal/settings"
 )
 
-// theGroup is the id of the one control group that runs today.
-const theGroup = 1
+// controlGroupID is the ID of the control group; there is only one.
+const controlGroupID = 1
 
 // Config configures a Host. Settings must come from package settings.
 type Config struct {
 	Settings *schema.Settings
 	Log      logr.Logger
-	// Tracer may be nil.
+	// Tracer creates the spans; nil disables tracing.
 	Tracer trace.Tracer
 }
 
-// Host runs the roles of one host. All methods are safe from any goroutine.
+// Host runs the roles of one host. All methods are safe for concurrent use.
 type Host struct {
-	cfg     Config
-	self    *schema.HostSettings
-	metrics *metrics.Set
-	storage *consensus.Storage
-	group   *control.Group
-	driver  *order.Driver
-	dialer  *peer.Dialer
-	server  *peer.Server
-	client  *control.Client
-	members *membership.Service
-	entry   *entry.Entry
-	// load counts requests in flight; the membership asks for it before there
-	// is an entry.
-	load   atomic.Pointer[entry.Entry]
-	scrape *http.Server
-	done   chan struct{}
-	once   sync.Once
+	cfg        Config
+	self       *schema.HostSettings
+	metrics    *metrics.Set
+	storage    *consensus.Storage
+	group      *control.Group
+	driver     *order.Driver
+	dialer     *peer.Dialer
+	server     *peer.Server
+	client     *control.Client
+	membership *membership.Service
+	entry      *entry.Entry
+	// loadSource is entry once it is started: the membership service reads the
+	// requests in flight already before that.
+	loadSource    atomic.Pointer[entry.Entry]
+	metricsServer *http.Server
+	done          chan struct{}
+	closeOnce     sync.Once
 }
 
-// New starts a host. When it fails nothing is left running.
+// New starts a host. On error, everything that was started is stopped again.
 func New(cfg Config) (*Host, error) {
 	h := &Host{
 		cfg: cfg, self: settings.Self(cfg.Settings), metrics: metrics.New(),
 		dialer: peer.NewDialer(peer.DialerConfig{}), done: make(chan struct{}),
 	}
 	if h.cfg.Tracer == nil {
-		h.cfg.Tracer = noTracer()
+		h.cfg.Tracer = noopTracer()
 	}
 	if err := h.start(); err != nil {
 		h.Close()
@@ -89,20 +89,20 @@
 	}
 	h.server = peer.NewServer(peer.ServerConfig{Listener: listeners.peer, Handlers: handlers})
 	incarnation := uint64(time.Now().UnixNano())
-	h.startMembers(listeners.probe, incarnation)
+	h.startMembership(listeners.probe, incarnation)
 	replica := ledger.NewReplica()
 	h.client = control.NewClient(control.ClientConfig{
-		Group: theGroup, Self: h.self, Hosts: h.cfg.Settings.GetHosts(), Dialer: h.dialer,
+		Group: controlGroupID, Self: h.self, Hosts: h.cfg.Settings.GetHosts(), Dialer: h.dialer,
 		Replica: replica, Log: h.cfg.Log.WithName("control"),
 	})
 	h.entry = entry.New(entry.Config{
 		Settings: h.cfg.Settings, Self: h.self, Incarnation: incarnation, Replica: replica,
-		Control: h.client, Membership: h.members, Random: rand.IntN, RandomID: consensus.RandomID,
+		Control: h.client, Membership: h.membership, Random: rand.IntN, RandomID: consensus.RandomID,
 		Log: h.cfg.Log.WithName("entry"), Tracer: h.cfg.Tracer, Metrics: h.metrics,
 		CallerListener: listeners.caller, OperatorListener: listeners.operator, BackendListener: listeners.backend,
 	})
-	h.load.Store(h.entry)
-	return h.startScrape()
+	h.loadSource.Store(h.entry)
+	return h.startMetricsServer()
 }
 
 type listeners struct {
@@ -124,19 +124,20 @@
 	}
 }
 
+// listen opens all listeners. On error, none stays open.
 func (h *Host) listen() (*listeners, error) {
 	l := &listeners{}
 	var err error
 	for _, x := range []struct {
-		into    *net.Listener
-		address string
+		listener *net.Listener
+		address  string
 	}{
 		{&l.peer, h.self.GetPeerAddress()},
 		{&l.caller, h.self.GetCallerAddress()},
 		{&l.operator, h.self.GetOperatorAddress()},
 		{&l.backend, h.self.GetBackendAddress()},
 	} {
-		if *x.into, err = net.Listen("tcp", x.address); err != nil {
+		if *x.listener, err = net.Listen("tcp", x.address); err != nil {
 			l.close()
 			return nil, errors.Newf("listen: %w", err)
 		}
@@ -148,6 +149,8 @@
 	return l, nil
 }
 
+// startControl starts the control role, if the settings give it to this host, and
+// returns its request handlers.
 func (h *Host) startControl() (peer.Handlers, error) {
 	if !h.self.GetControl() {
 		return peer.Handlers{}, nil
@@ -155,13 +158,13 @@
 	c := h.cfg.Settings.GetControl()
 	var err error
 	h.storage, err = consensus.OpenStorage(consensus.StorageConfig{
-		Folder: filepath.Join(c.GetDataFolder(), "control"), Group: theGroup, NewID: consensus.RandomID, FreeBytes: consensus.FreeBytes,
+		Folder: filepath.Join(c.GetDataFolder(), "control"), Group: controlGroupID, NewID: consensus.RandomID, FreeBytes: consensus.FreeBytes,
 	})
 	if err != nil {
 		return peer.Handlers{}, errors.Newf("open state: %w", err)
 	}
 	h.group, err = control.NewGroup(control.Config{
-		Group: theGroup, Self: h.self, Hosts: h.cfg.Settings.GetHosts(), Storage: h.storage, Dialer: h.dialer,
+		Group: controlGroupID, Self: h.self, Hosts: h.cfg.Settings.GetHosts(), Storage: h.storage, Dialer: h.dialer,
 		Heartbeat: c.GetHeartbeat().AsDuration(), Election: c.GetElectionTimeout().AsDuration(),
 		SnapshotAfter: c.GetSnapshotAfter(), Random: rand.IntN, Log: h.cfg.Log.WithName("group"),
 	})
@@ -202,20 +205,20 @@
 	h.group.SetLeaderHandlers(h.driver.HandleReport, h.driver.Forecast, h.driver.UnconfirmedReservations)
 }
 
-func (h *Host) startMembers(probe net.PacketConn, incarnation uint64) {
+func (h *Host) startMembership(probe net.PacketConn, incarnation uint64) {
 	var names []string
 	addresses := map[string]string{}
 	for _, x := range h.cfg.Settings.GetHosts() {
 		names = append(names, x.GetName())
 		addresses[x.GetName()] = x.GetPeerAddress()
 	}
-	h.members = membership.NewService(membership.ServiceConfig{
+	h.membership = membership.NewService(membership.ServiceConfig{
 		List: membership.NewList(membership.Config{
 			Self: h.self.GetName(), Incarnation: incarnation, Hosts: names, Random: rand.IntN,
 		}),
 		Conn: probe, Addresses: addresses, Log: h.cfg.Log.WithName("membership"),
 		Load: func() int {
-			if e := h.load.Load(); e != nil {
+			if e := h.loadSource.Load(); e != nil {
 				return e.InFlight()
 			}
 			return 0
@@ -229,11 +232,12 @@
 // Ready reports whether the host serves callers.
 func (h *Host) Ready() bool { return h.entry.Readiness() != entry.ReadinessNone }
 
-// IsLeader reports whether this host's control member leads.
+// IsLeader reports whether this host's control member is the leader.
 func (h *Host) IsLeader() bool { return h.group != nil && h.group.Status().CommittedInTerm }
 
-// Failed is closed when the control role ended by itself; Err tells why. The
-// process must then end: what its disk holds is no longer known.
+// Failed returns a channel that is closed when the control role has stopped; Err
+// returns the cause. If it stopped by itself, the process must exit, as the state on
+// its disk is no longer known. The channel is nil on a host without the control role.
 func (h *Host) Failed() <-chan struct{} {
 	if h.group == nil {
 		return nil
@@ -241,7 +245,7 @@
 	return h.group.Done()
 }
 
-// Err tells why the control role ended.
+// Err returns the error that stopped the control role, or nil.
 func (h *Host) Err() error {
 	if h.group == nil {
 		return nil
@@ -249,17 +253,16 @@
 	return h.group.Err()
 }
 
-// Drain stops the host without cutting off a request: it leaves the directory,
-// waits for what is in flight until the context ends, hands leadership over and
-// closes everything.
+// Drain stops the host gracefully: it leaves the directory, waits for the requests in
+// flight until the context ends, transfers the leadership and closes everything.
 func (h *Host) Drain(ctx context.Context) {
 	h.entry.Drain(ctx)
 	h.Close()
 }
 
-// Close stops the host at once.
+// Close stops the host without waiting for requests in flight.
 func (h *Host) Close() {
-	h.once.Do(func() {
+	h.closeOnce.Do(func() {
 		defer close(h.done)
 		if h.entry != nil {
 			h.entry.Close()
@@ -271,8 +274,8 @@
 			h.group.Stop()
 			h.driver.Stop()
 		}
-		if h.members != nil {
-			h.members.Stop()
+		if h.membership != nil {
+			h.membership.Stop()
 		}
 		if h.server != nil {
 			h.server.Stop()
@@ -281,12 +284,12 @@
 		if h.storage != nil {
 			_ = h.storage.Close()
 		}
-		if h.scrape != nil {
-			_ = h.scrape.Close()
+		if h.metricsServer != nil {
+			_ = h.metricsServer.Close()
 		}
 	})
 	<-h.done
 }
 
-// Done is closed when the host has stopped.
+// Done returns a channel that is closed when the host has stopped.
 func (h *Host) Done() <-chan struct{} { return h.done }
--- a/internal/host/path_test.go
+++ b/internal/host/path_test.go
@@ -30,19 +30,19 @@
 }
 
 // post sends one request without the client's retries.
-func (b *bed) post(path, body string, header ...string) reply {
-	b.t.Helper()
-	q, err := http.NewRequestWithContext(context.Background(), http.MethodPost, b.url(path), strings.NewReader(body))
-	require.NoError(b.t, err)
-	q.Header.Set(routing.HeaderCustomer, bedCustomer)
+func (h *harness) post(path, body string, header ...string) reply {
+	h.t.Helper()
+	q, err := http.NewRequestWithContext(context.Background(), http.MethodPost, h.callerURL(path), strings.NewReader(body))
+	require.NoError(h.t, err)
+	q.Header.Set(routing.HeaderCustomer, testCustomer)
 	for i := 0; i+1 < len(header); i += 2 {
 		q.Header.Set(header[i], header[i+1])
 	}
-	return b.do(q)
+	return h.do(q)
 }
 
-// replyOf is a whole answer.
-func replyOf(resp *http.Response, data []byte) reply {
+// newReply parses a complete response.
+func newReply(resp *http.Response, data []byte) reply {
 	out := reply{status: resp.StatusCode, header: resp.Header, body: data}
 	var e struct {
 		Error struct {
@@ -57,14 +57,16 @@
 
 func completion(model string) string { return `{"model":"` + model + `"}` }
 
-func TestBadInputIsToldApart(t *testing.T) {
+// TestInvalidRequests tests the status and the error code of each kind of invalid
+// request.
+func TestInvalidRequests(t *testing.T) {
 	t.Parallel()
-	b := newBed(t, "entry:\n  max-body-bytes: 4096\n")
-	b.application("app-1", nil)
-	b.awaitServers(1)
-	b.configure(1)
+	h := newHarness(t, "entry:\n  max-body-bytes: 4096\n")
+	h.application("app-1", nil)
+	h.awaitServers(1)
+	h.configure(1)
 	key := "Idempotency-Key"
-	first := b.post("/services/regdesk/enter", "{}", key, "used")
+	first := h.post("/services/regdesk/enter", "{}", key, "used")
 	require.Equal(t, http.StatusOK, first.status, "%s", first.body)
 	for _, c := range []struct {
 		name, path, body string
@@ -76,11 +78,11 @@
 		{"no model", "/v1/chat/completions", "{}", nil, 400, "bad-request"},
 		{"body over the limit", "/v1/chat/completions", strings.Repeat("x", 5000), nil, 413, "body-too-large"},
 		{"unknown model", "/v1/chat/completions", completion("nobody"), nil, 404, "unknown-target"},
-		{"service asked as a model", "/v1/chat/completions", completion(bedService), nil, 404, "unknown-target"},
-		{"unknown customer", "/v1/chat/completions", completion(bedModel), []string{routing.HeaderCustomer, "else"}, 403, "unknown-customer"},
-		{"no customer", "/v1/chat/completions", completion(bedModel), []string{routing.HeaderCustomer, ""}, 403, "unknown-customer"},
-		{"deadline without a number", "/v1/chat/completions", completion(bedModel), []string{routing.HeaderDeadline, "soon"}, 400, "bad-request"},
-		{"past deadline", "/v1/chat/completions", completion(bedModel), []string{routing.HeaderDeadline, "0"}, 504, "deadline-passed"},
+		{"service as a model", "/v1/chat/completions", completion(testService), nil, 404, "unknown-target"},
+		{"unknown customer", "/v1/chat/completions", completion(testModel), []string{routing.HeaderCustomer, "else"}, 403, "unknown-customer"},
+		{"no customer", "/v1/chat/completions", completion(testModel), []string{routing.HeaderCustomer, ""}, 403, "unknown-customer"},
+		{"deadline without a number", "/v1/chat/completions", completion(testModel), []string{routing.HeaderDeadline, "soon"}, 400, "bad-request"},
+		{"past deadline", "/v1/chat/completions", completion(testModel), []string{routing.HeaderDeadline, "0"}, 504, "deadline-passed"},
 		{"no key", "/services/regdesk/enter", "{}", nil, 400, "key-missing"},
 		{"key of another body", "/services/regdesk/enter", "{1}", []string{key, "used"}, 422, "key-reused"},
 		{"key of another path", "/services/regdesk/leave", "{}", []string{key, "used"}, 422, "key-reused"},
@@ -88,7 +90,7 @@
 		{"unknown service", "/services/other/enter", "{}", []string{key, "k"}, 404, "unknown-target"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := b.post(c.path, c.body, c.header...)
+			r := h.post(c.path, c.body, c.header...)
 			assert.Equal(t, c.status, r.status, "%s", r.body)
 			assert.Equal(t, c.code, r.code)
 			assert.NotEmpty(t, r.message)
@@ -97,96 +99,95 @@
 	}
 }
 
-// TestNotRunNeverLies cuts the connection to the application server after every
-// byte of the request and after every byte of the answer. Each time the caller
-// is told whether the request ran; "not run" must be true, and a second arrival
-// of the key must never run it again after it may have run.
-func TestNotRunNeverLies(t *testing.T) {
+// TestNotRunOutcomeIsCorrect closes the connection to the application server after
+// every byte of the request and after every byte of the response. The outcome not-run
+// must only be returned if the request did not run, and a retry with the same key must
+// not run a request again that may have run.
+func TestNotRunOutcomeIsCorrect(t *testing.T) {
 	t.Parallel()
-	b := newBed(t, "")
-	l := newCutListener(t)
+	h := newHarness(t, "")
+	l := newTruncatingListener(t)
 	runs := standin.NewRuns()
-	b.application("app-1", func(c *standin.ApplicationConfig) { c.Listener, c.Runs = l, runs })
-	b.awaitServers(1)
-	b.configure(1)
+	h.application("app-1", func(c *standin.ApplicationConfig) { c.Listener, c.Runs = l, runs })
+	h.awaitServers(1)
+	h.configure(1)
 	outcomes := map[string]int{}
 	try := func(name string) {
-		r := b.post("/services/regdesk/enter", `{"club":"x"}`, "Idempotency-Key", name)
+		r := h.post("/services/regdesk/enter", `{"club":"x"}`, "Idempotency-Key", name)
 		n := runs.Count(name)
 		outcomes[fmt.Sprintf("%s %s", r.outcome, r.code)]++
 		if r.outcome == "not-run" {
-			require.Zero(t, n, "%s: said not-run and ran", name)
+			require.Zero(t, n, "%s: outcome is not-run, but the request ran", name)
 		}
 		if r.status == http.StatusOK {
 			require.Equal(t, 1, n, name)
 			require.True(t, json.Valid(r.body), "%s: %s", name, r.body)
 		}
-		// The resend finds a server that works.
-		l.reads.Store(-1)
-		l.writes.Store(-1)
-		again := b.post("/services/regdesk/enter", `{"club":"x"}`, "Idempotency-Key", name)
+		// The retry reaches the server over an unlimited connection.
+		l.readLimit.Store(-1)
+		l.writeLimit.Store(-1)
+		again := h.post("/services/regdesk/enter", `{"club":"x"}`, "Idempotency-Key", name)
 		require.LessOrEqual(t, runs.Count(name), 1, name)
 		if r.outcome == "not-run" {
 			require.Equal(t, http.StatusOK, again.status, "%s: %s", name, again.body)
 		}
 	}
 	for n := range int64(420) {
-		l.reads.Store(n)
+		l.readLimit.Store(n)
 		try(fmt.Sprintf("request-%d", n))
 	}
 	for n := range int64(300) {
-		l.writes.Store(n)
+		l.writeLimit.Store(n)
 		try(fmt.Sprintf("answer-%d", n))
 	}
 	t.Log(outcomes)
 	assert.Equal(t, 1, runs.Max())
 }
 
-// TestRefusedConnectionIsNotRun: the server's process is gone but its record is
-// not. The refused connection proves that nothing ran, and another server is
-// tried under the same claim.
+// TestRefusedConnectionIsNotRun tests requests to a server whose process has ended but
+// which is still recorded. The refused connection proves that the request did not run,
+// so it is retried at another server under the same claim.
 func TestRefusedConnectionIsNotRun(t *testing.T) {
 	t.Parallel()
-	b := newBed(t, "")
+	h := newHarness(t, "")
 	runs := standin.NewRuns()
-	gone := b.application("app-1", func(c *standin.ApplicationConfig) { c.Runs = runs })
-	b.application("app-2", func(c *standin.ApplicationConfig) { c.Runs = runs })
-	b.awaitServers(2)
-	b.configure(1)
-	gone.Close()
+	stopped := h.application("app-1", func(c *standin.ApplicationConfig) { c.Runs = runs })
+	h.application("app-2", func(c *standin.ApplicationConfig) { c.Runs = runs })
+	h.awaitServers(2)
+	h.configure(1)
+	stopped.Close()
 	for i := range 20 {
-		r := b.post("/services/regdesk/enter", "{}", "Idempotency-Key", fmt.Sprint("k", i))
+		r := h.post("/services/regdesk/enter", "{}", "Idempotency-Key", fmt.Sprint("k", i))
 		require.Equal(t, http.StatusOK, r.status, "%s", r.body)
 	}
 	assert.Equal(t, 1, runs.Max())
 }
 
-// TestBrokenAnswersNeverPassAsWhole: replicas that cut, garble or swap their
-// answers stand beside one that works. Every caller gets the whole answer to its
-// own request, or an error; nothing else.
-func TestBrokenAnswersNeverPassAsWhole(t *testing.T) {
+// TestBrokenResponsesAreRetried tests an engine that truncates, swaps or fails every
+// third response. Every caller must get the complete response to its own request.
+func TestBrokenResponsesAreRetried(t *testing.T) {
 	t.Parallel()
-	whole := func(w http.ResponseWriter, q *http.Request) {
+	complete := func(w http.ResponseWriter, q *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = fmt.Fprintf(w, `{"id":%q,"text":"whole"}`, q.Header.Get(routing.HeaderRequestID))
 	}
 	for _, c := range []struct {
-		name  string
-		spoil func(w http.ResponseWriter, q *http.Request)
+		name        string
+		writeBroken func(w http.ResponseWriter, q *http.Request)
 	}{
-		{"truncated with its length", func(w http.ResponseWriter, _ *http.Request) {
+		{"truncated with a content length", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "1000")
 			_, _ = w.Write([]byte(`{"id":"x","text":"wh`))
 		}},
-		{"truncated without its length", func(w http.ResponseWriter, _ *http.Request) {
+		{"truncated without a content length", func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write([]byte(`{"id":"x","text":"wh`))
 		}},
-		{"aborted in the middle", func(w http.ResponseWriter, _ *http.Request) {
+		{"aborted after a part of the body", func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write([]byte(`{"id":"x",`))
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
 		}},
-		{"answer to another request", func(w http.ResponseWriter, _ *http.Request) {
+		{"response to another request", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(routing.HeaderRequestID, "another")
 			_, _ = w.Write([]byte(`{"id":"another","text":"whole"}`))
 		}},
@@ -198,23 +199,23 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBed(t, "")
+			h := newHarness(t, "")
 			var calls, broken atomic.Int64
-			b.engine("engine-1", func(cfg *standin.EngineConfig) {
+			h.engine("engine-1", func(cfg *standin.EngineConfig) {
 				cfg.Complete = func(w http.ResponseWriter, q *http.Request, _ string) {
-					// Every third answer is broken.
+					// Every third response is broken.
 					if calls.Add(1)%3 == 0 {
 						broken.Add(1)
-						c.spoil(w, q)
+						c.writeBroken(w, q)
 						return
 					}
-					whole(w, q)
+					complete(w, q)
 				}
 			})
-			b.awaitServers(1)
-			b.configure(1)
+			h.awaitServers(1)
+			h.configure(1)
 			for range 30 {
-				r := b.post("/v1/chat/completions", completion(bedModel))
+				r := h.post("/v1/chat/completions", completion(testModel))
 				require.Equal(t, http.StatusOK, r.status, "%s", r.body)
 				var a struct{ ID, Text string }
 				require.NoError(t, json.Unmarshal(r.body, &a), "%s", r.body)
@@ -226,7 +227,9 @@
 	}
 }
 
-func tokens(body []byte) (words []string, done, failed bool) {
+// parseTokens returns the tokens of an SSE body, whether it ends with [DONE], and
+// whether it contains an error event.
+func parseTokens(body []byte) (words []string, done, failed bool) {
 	for _, block := range bytes.Split(body, []byte("\n\n")) {
 		text := string(block)
 		switch {
@@ -243,9 +246,9 @@
 	return words, done, failed
 }
 
-// TestStreams: a stream that breaks is resumed where the engine numbers its
-// events, without a token lost or doubled; where it does not, the caller sees an
-// explicit error and no clean end.
+// TestStreams tests streams that are interrupted. If the engine numbers its events, the
+// stream is resumed without lost or duplicate tokens; otherwise the caller gets an
+// explicit error event and no [DONE].
 func TestStreams(t *testing.T) {
 	t.Parallel()
 	const all = 12
@@ -259,27 +262,27 @@
 	for _, c := range []struct {
 		name     string
 		numbered bool
-		cutAt    int
+		cutAfter int
 		// overlap is how many events an engine repeats after a resume.
 		overlap int
 		done    bool
 	}{
-		{"unbroken", true, 0, 0, true},
+		{"uninterrupted", true, 0, 0, true},
 		{"resumed", true, 5, 0, true},
-		{"resumed with doubled events", true, 5, 3, true},
-		{"cut without numbers", false, 5, 0, false},
+		{"resumed with duplicate events", true, 5, 3, true},
+		{"interrupted without event numbers", false, 5, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := newBed(t, "")
-			b.engine("engine-1", func(cfg *standin.EngineConfig) {
+			h := newHarness(t, "")
+			h.engine("engine-1", func(cfg *standin.EngineConfig) {
 				cfg.Complete = func(w http.ResponseWriter, q *http.Request, _ string) {
 					w.Header().Set("Content-Type", "text/event-stream")
 					last := 0
 					_, _ = fmt.Sscan(q.Header.Get("Last-Event-ID"), &last)
 					for n := max(last-c.overlap, 0) + 1; n <= all; n++ {
-						if last == 0 && c.cutAt > 0 && n > c.cutAt {
-							// Half an event, then the end.
+						if last == 0 && c.cutAfter > 0 && n > c.cutAfter {
+							// The connection ends within an event.
 							_, _ = w.Write([]byte("data: {\"conte"))
 							w.(http.Flusher).Flush()
 							panic(http.ErrAbortHandler)
@@ -289,15 +292,15 @@
 					_, _ = w.Write([]byte("data: [DONE]\n\n"))
 				}
 			})
-			b.awaitServers(1)
-			b.configure(1)
-			r := b.post("/v1/chat/completions", `{"model":"sorter","stream":true}`)
-			words, done, failed := tokens(r.body)
+			h.awaitServers(1)
+			h.configure(1)
+			r := h.post("/v1/chat/completions", `{"model":"sorter","stream":true}`)
+			words, done, failed := parseTokens(r.body)
 			assert.Equal(t, c.done, done, "%s", r.body)
 			assert.Equal(t, !c.done, failed)
 			want := all
 			if !c.done {
-				want = c.cutAt
+				want = c.cutAfter
 			}
 			require.Len(t, words, want)
 			for i, w := range words {
@@ -307,48 +310,48 @@
 	}
 }
 
-// TestOneWakePerBurst: forty callers at once ask for a sleeping model. One load
-// is ordered, all are served by it, and nothing else is loaded.
-func TestOneWakePerBurst(t *testing.T) {
+// TestOneLoadPerBurst tests that concurrent requests of forty callers for a model that
+// is not loaded cause exactly one load, which serves all of them.
+func TestOneLoadPerBurst(t *testing.T) {
 	t.Parallel()
-	b := newBed(t, "")
-	e := b.engine("engine-1", func(c *standin.EngineConfig) { c.LoadTime = 200 * time.Millisecond })
-	f := b.engine("engine-2", nil)
-	b.awaitServers(2)
-	b.configure(1)
-	b.burst(40)
-	assert.Equal(t, 1, e.Loads(bedModel)+f.Loads(bedModel))
+	h := newHarness(t, "")
+	e := h.engine("engine-1", func(c *standin.EngineConfig) { c.LoadTime = 200 * time.Millisecond })
+	f := h.engine("engine-2", nil)
+	h.awaitServers(2)
+	h.configure(1)
+	h.burst(40)
+	assert.Equal(t, 1, e.Loads(testModel)+f.Loads(testModel))
 	assert.Zero(t, e.Overcommits()+f.Overcommits())
 }
 
-// TestRefusalsComeAtOnce: no engine could ever hold the model, or none is there.
-// The caller learns it long before its deadline, with the time to come back.
-func TestRefusalsComeAtOnce(t *testing.T) {
+// TestRefusalWithoutEngines tests that a request for a model that no engine can load is
+// refused well before its deadline, with a retry time.
+func TestRefusalWithoutEngines(t *testing.T) {
 	t.Parallel()
-	b := newBed(t, "")
-	b.configure(1)
+	h := newHarness(t, "")
+	h.configure(1)
 	began := time.Now()
-	_, err := b.client().Complete(context.Background(), []byte(completion(bedModel)))
+	_, err := h.client().Complete(context.Background(), []byte(completion(testModel)))
 	var refused *fennelyard.Error
 	require.True(t, errors.As(err, &refused), "%v", err)
 	assert.Equal(t, "no-capacity", refused.Code())
 	assert.Equal(t, "not-run", refused.Outcome())
 	assert.Positive(t, refused.RetryAfter())
-	assert.Less(t, time.Since(began), bedWait/2)
+	assert.Less(t, time.Since(began), testTimeout/2)
 }
 
-// TestLeavingServerGetsNothingNew: a server says that it is leaving. Once that
-// is known, new requests go elsewhere while its own are finished.
-func TestLeavingServerGetsNothingNew(t *testing.T) {
+// TestLeavingServerGetsNoNewRequests tests that once a server has announced that it is
+// leaving, new requests go to other servers.
+func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	t.Parallel()
-	b := newBed(t, "")
-	first := b.application("app-1", nil)
-	second := b.application("app-2", nil)
-	b.awaitServers(2)
-	b.configure(1)
+	h := newHarness(t, "")
+	first := h.application("app-1", nil)
+	second := h.application("app-2", nil)
+	h.awaitServers(2)
+	h.configure(1)
 	first.Leave()
 	for i := range 20 {
-		r := b.post("/services/regdesk/enter", "{}", "Idempotency-Key", fmt.Sprint("k", i))
+		r := h.post("/services/regdesk/enter", "{}", "Idempotency-Key", fmt.Sprint("k", i))
 		require.Equal(t, http.StatusOK, r.status)
 		assert.Zero(t, first.Runs().Count(fmt.Sprint("k", i)))
 		assert.Equal(t, 1, second.Runs().Count(fmt.Sprint("k", i)))
--- a/internal/host/scrape.go
+++ b/internal/host/scrape.go
@@ -10,10 +10,11 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-const scrapeHeaderTimeout = 5 * time.Second
+const metricsHeaderTimeout = 5 * time.Second
 
-// startScrape serves metrics and health on an address of their own.
-func (h *Host) startScrape() error {
+// startMetricsServer serves metrics and health checks on the metrics address, if one
+// is set.
+func (h *Host) startMetricsServer() error {
 	address := h.cfg.Settings.GetMetricsAddress()
 	if address == "" {
 		return nil
@@ -31,12 +32,12 @@
 		}
 		_, _ = w.Write([]byte(h.entry.Readiness().String() + "\n"))
 	})
-	h.scrape = &http.Server{Handler: mux, ReadHeaderTimeout: scrapeHeaderTimeout}
+	h.metricsServer = &http.Server{Handler: mux, ReadHeaderTimeout: metricsHeaderTimeout}
 	go func() {
-		// It ends with Close.
-		_ = h.scrape.Serve(l)
+		// Close ends it.
+		_ = h.metricsServer.Serve(l)
 	}()
 	return nil
 }
 
-func noTracer() trace.Tracer { return noop.NewTracerProvider().Tracer("") }
+func noopTracer() trace.Tracer { return noop.NewTracerProvider().Tracer("") }
--- a/internal/host/silence_test.go
+++ b/internal/host/silence_test.go
@@ -10,56 +10,56 @@
 	"fennelyard/internal/standin"
 )
 
-// TestPooledConnectionsGoSilent: sixteen requests leave as many connections to
-// an engine in the pool. All of them go silent for good at once, as when
-// something between the ends forgets them; new ones work. The next requests
-// find silence, give the connections up after a bounded time, suspect their
-// siblings and are served on fresh ones.
+// TestPooledConnectionsGoSilent tests that requests survive silent connections in the
+// pool. Sixteen requests leave as many connections to an engine in the pool. All of
+// them then go silent permanently, as when a middlebox drops their state; new
+// connections work. The next requests must abandon the silent connections after a
+// bounded time, suspect the other pooled ones and be served on new connections.
 func TestPooledConnectionsGoSilent(t *testing.T) {
 	t.Parallel()
-	b := newBed(t, "")
+	h := newHarness(t, "")
 	l := newSilentListener(t)
-	b.engine("engine-1", func(c *standin.EngineConfig) { c.Listener = l })
-	b.awaitServers(1)
-	b.configure(1)
-	b.burst(16)
+	h.engine("engine-1", func(c *standin.EngineConfig) { c.Listener = l })
+	h.awaitServers(1)
+	h.configure(1)
+	h.burst(16)
 	l.silence()
-	b.burst(16)
+	h.burst(16)
 }
 
-// TestBookingsOnSilentConnections: every connection to the application server
-// goes silent between two bookings. A booking goes on a connection of its own,
-// so none is lost in the pool and none is sent twice.
+// TestBookingsOnSilentConnections tests that bookings do not use pooled connections.
+// All connections to the application server go silent between two bookings; each
+// booking uses a new connection, so none is lost and none is sent twice.
 func TestBookingsOnSilentConnections(t *testing.T) {
 	t.Parallel()
-	b := newBed(t, "")
+	h := newHarness(t, "")
 	l := newSilentListener(t)
-	a := b.application("app-1", func(c *standin.ApplicationConfig) { c.Listener = l })
-	b.awaitServers(1)
-	b.configure(1)
+	a := h.application("app-1", func(c *standin.ApplicationConfig) { c.Listener = l })
+	h.awaitServers(1)
+	h.configure(1)
 	for i := range 20 {
 		key := fmt.Sprint("k", i)
-		r := b.post("/services/regdesk/enter", "{}", "Idempotency-Key", key)
+		r := h.post("/services/regdesk/enter", "{}", "Idempotency-Key", key)
 		require.Equal(t, 200, r.status, "%s", r.body)
 		require.Equal(t, 1, a.Runs().Count(key))
 		l.silence()
 	}
 }
 
-// TestClaimsSurviveARestart: a booking runs, the host is restarted from its
-// disk, and the booking is sent again. It gets the kept answer.
-func TestClaimsSurviveARestart(t *testing.T) {
+// TestClaimsSurviveRestart tests that a booking that is sent again after the host has
+// restarted from its disk gets the stored response and does not run again.
+func TestClaimsSurviveRestart(t *testing.T) {
 	t.Parallel()
-	b := newBed(t, "")
-	a := b.application("app-1", nil)
-	b.awaitServers(1)
-	b.configure(1)
-	first := b.post("/services/regdesk/enter", "{}", "Idempotency-Key", "k")
+	h := newHarness(t, "")
+	a := h.application("app-1", nil)
+	h.awaitServers(1)
+	h.configure(1)
+	first := h.post("/services/regdesk/enter", "{}", "Idempotency-Key", "k")
 	require.Equal(t, 200, first.status)
-	b.restart()
+	h.restart()
 	var again reply
-	b.eventually("the kept answer", func() bool {
-		again = b.post("/services/regdesk/enter", "{}", "Idempotency-Key", "k")
+	h.eventually("the stored response", func() bool {
+		again = h.post("/services/regdesk/enter", "{}", "Idempotency-Key", "k")
 		return again.status == 200
 	})
 	assert.Equal(t, "true", again.header.Get("Fennelyard-Replayed"))
--- a/internal/host/trace_test.go
+++ b/internal/host/trace_test.go
@@ -12,26 +12,26 @@
 	"fennelyard"
 )
 
-// TestOneSpanPerHop follows a cold request from the caller through entry, queue
-// and dispatch in one trace, and its load through order and load.
+// TestOneSpanPerHop tests that the caller, queue and dispatch spans of a cold request
+// are in one trace, and the order and load spans of its load in another.
 func TestOneSpanPerHop(t *testing.T) {
 	t.Parallel()
 	spans := tracetest.NewInMemoryExporter()
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(spans))
 	tracer := provider.Tracer("test")
-	b := newTracedBed(t, "", tracer)
-	b.engine("engine-1", nil)
-	b.awaitServers(1)
-	b.configure(1)
+	h := newTracedHarness(t, "", tracer)
+	h.engine("engine-1", nil)
+	h.awaitServers(1)
+	h.configure(1)
 	client := fennelyard.NewClient(fennelyard.ClientOptions{
-		Addresses: b.layout.Callers(), Customer: bedCustomer, Deadline: bedWait, Tracer: tracer,
+		Addresses: h.layout.Callers(), Customer: testCustomer, Deadline: testTimeout, Tracer: tracer,
 	})
-	_, err := client.Complete(context.Background(), []byte(completion(bedModel)))
+	_, err := client.Complete(context.Background(), []byte(completion(testModel)))
 	require.NoError(t, err)
 	traces := map[string]string{}
-	b.eventually("every hop's span", func() bool {
+	h.eventually("every hop's span", func() bool {
 		for _, s := range spans.GetSpans() {
-			if _, seen := traces[s.Name]; s.Name != "entry" || !seen {
+			if _, ok := traces[s.Name]; s.Name != "entry" || !ok {
 				traces[s.Name] = s.SpanContext.TraceID().String()
 			}
 		}
