--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,5 +1,5 @@
-// Package timeline joins the log lines of several processes into what happened to
-// one request.
+// Package timeline selects the log lines of several processes that explain what
+// happened to one request.
 package timeline
 
 import (
@@ -17,23 +17,26 @@
 )
 
 const (
-	// before is how far before a request's arrival lines about its server, model
-	// and leader are shown: a change of belief is in force within two seconds.
-	before = 3 * time.Second
-	// longest is the longest log line that is read.
-	longest     = 1 << 20
-	requestLine = "request"
-	droppedLine = "log lines dropped"
+	// lookback is the time before a request's arrival from which lines about its
+	// server, model and leader are included: a change of observed state takes effect
+	// within two seconds.
+	lookback = 3 * time.Second
+	// maxLineBytes bounds the length of a log line.
+	maxLineBytes = 1 << 20
+	// requestMessage and droppedMessage are messages of log lines.
+	requestMessage = "request"
+	droppedMessage = "log lines dropped"
 )
 
-// ErrUnknown says that no log line names the request.
+// ErrUnknown is returned if no log line names the request.
 var ErrUnknown = errors.New("no log line names this request")
 
-// Line is one log line.
+// Line is a parsed log line.
 type Line struct {
-	At   time.Time
+	At time.Time
+	// Host is the host that wrote the line, "" if it is not named.
 	Host string
-	// Message is the name of the event.
+	// Message is the text of the log call, which names the event.
 	Message string
 	fields  map[string]any
 }
@@ -53,21 +56,25 @@
 	return n
 }
 
+// milliseconds returns a field that is a number of milliseconds, or 0.
 func (l *Line) milliseconds(key string) time.Duration {
 	return time.Duration(l.number(key) * float64(time.Millisecond))
 }
 
-// shared names the request that the line is about, what it ran on, or both.
-var shared = []string{"server", "model", "pool"}
+// sharedKeys are the fields by which a line of another host is related to a request:
+// what the request ran on.
+var sharedKeys = []string{"server", "model", "pool"}
 
-// silent are the fields that are not repeated in the text of a line.
-var silent = map[string]bool{"time": true, "level": true, "msg": true, "host": true, "logger": true}
+// omittedKeys are the fields that String does not list: they are already part of its
+// text or of no interest.
+var omittedKeys = map[string]bool{"time": true, "level": true, "msg": true, "host": true, "logger": true}
 
-// String returns the line's fields in a fixed order.
+// String returns the line's time, host and message, followed by its other fields in
+// the order of their keys.
 func (l *Line) String() string {
 	var keys []string
 	for k, v := range l.fields {
-		if !silent[k] && v != "" && v != nil {
+		if !omittedKeys[k] && v != "" && v != nil {
 			keys = append(keys, k)
 		}
 	}
@@ -80,28 +87,29 @@
 	return b.String()
 }
 
-// Read returns the lines of one log. What stands before the first brace of a
-// line, and lines that are no JSON, are passed over.
+// Read parses a log of JSON lines. It ignores text before the first brace of a line,
+// such as a prefix with the process name, and lines that are not JSON or have no valid
+// time.
 func Read(in io.Reader) ([]*Line, error) {
 	var out []*Line
 	s := bufio.NewScanner(in)
-	s.Buffer(make([]byte, 64<<10), longest)
+	s.Buffer(make([]byte, 64<<10), maxLineBytes)
 	for s.Scan() {
-		at := bytes.IndexByte(s.Bytes(), '{')
-		if at < 0 {
+		start := bytes.IndexByte(s.Bytes(), '{')
+		if start < 0 {
 			continue
 		}
 		fields := map[string]any{}
-		if json.Unmarshal(s.Bytes()[at:], &fields) != nil {
+		if json.Unmarshal(s.Bytes()[start:], &fields) != nil {
 			continue
 		}
 		l := &Line{fields: fields}
 		l.Host, l.Message = l.text("host"), l.text("msg")
-		when, err := time.Parse(time.RFC3339Nano, l.text("time"))
+		at, err := time.Parse(time.RFC3339Nano, l.text("time"))
 		if err != nil {
 			continue
 		}
-		l.At = when
+		l.At = at
 		out = append(out, l)
 	}
 	if err := s.Err(); err != nil {
@@ -110,64 +118,66 @@
 	return out, nil
 }
 
-// Timeline is what the logs tell of one request.
+// Timeline holds the log lines of one request, ordered by time.
 type Timeline struct {
-	// Requests are the lines of the request itself, one for each entry that took
-	// it.
+	// Requests holds the lines of the request itself, one for each entry that
+	// received it.
 	Requests []*Line
-	// StateChanges are the lines about what it ran on, shortly before and during it.
+	// StateChanges holds the lines about its server, model, pool and leader, shortly
+	// before and during the request.
 	StateChanges []*Line
-	// Dropped is set when a process dropped lines in that time: the story may
-	// lack some.
+	// Dropped is set if a process dropped log lines in that time, so that some may be
+	// missing.
 	Dropped bool
 }
 
-// Collect collects the story of a request.
+// Collect returns the timeline of the request with an ID, or ErrUnknown.
 func Collect(id string, lines []*Line) (*Timeline, error) {
-	s := &Timeline{}
+	t := &Timeline{}
 	for _, l := range lines {
-		if l.Message == requestLine && l.text("id") == id {
-			s.Requests = append(s.Requests, l)
+		if l.Message == requestMessage && l.text("id") == id {
+			t.Requests = append(t.Requests, l)
 		}
 	}
-	if len(s.Requests) == 0 {
+	if len(t.Requests) == 0 {
 		return nil, errors.Newf("request %s: %w", id, ErrUnknown)
 	}
 	for _, l := range lines {
-		if l.Message == requestLine {
+		if l.Message == requestMessage {
 			continue
 		}
-		for _, q := range s.Requests {
-			if s.belongs(l, q) {
-				s.StateChanges = append(s.StateChanges, l)
+		for _, q := range t.Requests {
+			if t.isRelated(l, q) {
+				t.StateChanges = append(t.StateChanges, l)
 				break
 			}
 		}
 	}
 	byTime := func(a, b *Line) int { return a.At.Compare(b.At) }
-	slices.SortStableFunc(s.Requests, byTime)
-	slices.SortStableFunc(s.StateChanges, func(a, b *Line) int { return cmp.Or(byTime(a, b), cmp.Compare(a.Host, b.Host)) })
-	return s, nil
+	slices.SortStableFunc(t.Requests, byTime)
+	slices.SortStableFunc(t.StateChanges, func(a, b *Line) int { return cmp.Or(byTime(a, b), cmp.Compare(a.Host, b.Host)) })
+	return t, nil
 }
 
-// belongs reports whether a line is about what a request depended on.
-func (s *Timeline) belongs(l, q *Line) bool {
-	from := q.At.Add(-q.milliseconds("took-ms") - before)
-	if names(l, q.text("key")) && l.At.Before(q.At) {
-		// What made a request suspect may be long ago.
+// isRelated reports whether a line is about something that the request depended on.
+// It sets Dropped if lines were dropped.
+func (t *Timeline) isRelated(l, q *Line) bool {
+	from := q.At.Add(-q.milliseconds("took-ms") - lookback)
+	if namesKey(l, q.text("key")) && l.At.Before(q.At) {
+		// What made the request suspect may lie long before it.
 		return true
 	}
 	if l.At.Before(from) || l.At.After(q.At) {
 		return false
 	}
-	if l.Message == droppedLine {
-		s.Dropped = true
+	if l.Message == droppedMessage {
+		t.Dropped = true
 		return true
 	}
 	if l.text("logger") == "" || strings.HasPrefix(l.text("logger"), "group") || l.Host == q.Host {
 		return true
 	}
-	for _, key := range shared {
+	for _, key := range sharedKeys {
 		if v := q.text(key); v != "" && v == l.text(key) {
 			return true
 		}
@@ -175,8 +185,8 @@
 	return false
 }
 
-// names reports whether a line is about a request that has a key.
-func names(l *Line, key string) bool {
+// namesKey reports whether a line is about requests with the given key.
+func namesKey(l *Line, key string) bool {
 	if key == "" {
 		return false
 	}
@@ -184,44 +194,44 @@
 	return l.text("key") == key || slices.Contains(keys, any(key))
 }
 
-// Cause says in a sentence what decided a request's end.
+// Cause describes in a sentence what determined a request's outcome.
 func Cause(q *Line) string {
 	waited, first, pause := q.milliseconds("waited-ms"), q.milliseconds("first-ms"), q.milliseconds("pause-ms")
 	switch q.text("outcome") {
 	case "no-configuration":
-		return "the entry knew no configuration yet: it had just started and no leader had spoken"
+		return "the entry had no configuration yet: it had just started and had received no update from a leader"
 	case "no-route":
 		return "no route of version " + q.text("version") + " matches the host and path"
 	case "no-model":
-		return fmt.Sprintf("no server held model %s; after %v the leader's forecast, or its silence, left no time", q.text("model"), waited)
+		return fmt.Sprintf("no server had model %s loaded; after %v the remaining time was too short by the leader's forecast, or the leader was silent", q.text("model"), waited)
 	case "no-server":
-		return "no server of pool " + q.text("pool") + " was believed to be ready"
+		return "no server of pool " + q.text("pool") + " was known to be ready"
 	case "busy":
 		return "the servers of pool " + q.text("pool") + " were full: " + q.text("cause")
 	case "repeat-budget":
-		return "an attempt failed and the allowance for repeats was used up: " + q.text("cause")
+		return "an attempt failed and the retry budget was exhausted: " + q.text("cause")
 	case "outcome-unknown":
-		return "server " + q.text("server") + " took the request and gave no answer; it may have run and must not run twice: " + q.text("cause")
+		return "server " + q.text("server") + " accepted the request and sent no response; it may have run and must not run twice: " + q.text("cause")
 	case "cut":
-		return "the answer broke off at server " + q.text("server") + " and no other could go on: " + q.text("cause")
+		return "the response from server " + q.text("server") + " was interrupted and no other server could resume it: " + q.text("cause")
 	case "timeout":
-		return fmt.Sprintf("the time was over after %d attempts, %v of it waiting for a model: %s", int(q.number("attempts")), waited, q.text("cause"))
+		return fmt.Sprintf("the request timed out after %d attempts, with %v spent waiting for a model: %s", int(q.number("attempts")), waited, q.text("cause"))
 	case "bad-body":
-		return "the request's body did not come whole or was too large: " + q.text("cause")
+		return "the request body was incomplete or too large: " + q.text("cause")
 	case "caller-gone":
-		return "the caller left first"
+		return "the caller disconnected before the response"
 	case "held-back":
-		return "the same request had ended three servers that ran it, see key " + q.text("key") + "; it is held back"
+		return "three servers had ended while they ran the same request, see key " + q.text("key") + "; it is held back"
 	case "unauthorized":
-		return "the request's API key is no team's in version " + q.text("version") + ", confirmed " + q.text("confirmed-age-ms") + " ms before"
+		return "the request's API key belongs to no team in version " + q.text("version") + ", confirmed " + q.text("confirmed-age-ms") + " ms before"
 	case "keys-unconfirmed":
-		return "the entry could not confirm its configuration for " + q.text("confirmed-age-ms") + " ms, so that the API key may have been added or revoked since"
+		return "the entry could not confirm its configuration for " + q.text("confirmed-age-ms") + " ms; the API key may have been added or revoked since"
 	case "over-quota":
-		return "team " + q.text("team") + " had used up its quota over all entries"
+		return "team " + q.text("team") + " had exhausted its quota over all entries"
 	case "entry-stopping":
-		return fmt.Sprintf("the entry was stopped and had no time left to serve it, after %v of waiting for a model: %s", waited, q.text("cause"))
+		return fmt.Sprintf("the entry was stopped and had no time left to serve the request, after waiting %v for a model: %s", waited, q.text("cause"))
 	case "server-failed":
-		return "server " + q.text("server") + " answered with status " + q.text("status")
+		return "server " + q.text("server") + " responded with status " + q.text("status")
 	}
-	return fmt.Sprintf("served by %s; first byte after %v (%v of it waiting for a model), longest pause %v", q.text("server"), first, waited, pause)
+	return fmt.Sprintf("served by %s; first byte after %v (%v of it spent waiting for a model), longest pause %v", q.text("server"), first, waited, pause)
 }
