--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,7 +1,7 @@
-// Package asynclog writes log lines without ever making the caller wait. Lines go
-// through a ring of fixed size to one writer; when the output stands still, lines
-// are dropped and counted, those of requests before those about what a process
-// believes.
+// Package asynclog writes log lines without blocking the caller. Lines go through a
+// buffer of fixed size to one goroutine that writes them. While the output is
+// blocked, lines are dropped and counted, lines about requests before lines about
+// changes of observed state.
 package asynclog
 
 import (
@@ -15,69 +15,73 @@
 )
 
 const (
-	// ringLines is the size of the ring: some seconds of an entry's lines, at
-	// most a few MB.
-	ringLines = 4096
-	// kept is the part of the ring that only lines about beliefs may use, so that
-	// requests do not push out why they failed.
-	kept = ringLines / 4
-	// gather is for how long lines are gathered that go out at once, and gatherBytes how many
-	// bytes of them: where hundreds come in a second, a call of the system for each costs a
-	// small host more than all that it says. A process that is killed loses as much.
-	gather      = 10 * time.Millisecond
-	gatherBytes = 64 << 10
-	// flushWait bounds how long Close waits for the output.
-	flushWait = 200 * time.Millisecond
+	// bufferSize is the size of the buffer in lines: some seconds of an entry's lines,
+	// at most a few MB.
+	bufferSize = 4096
+	// stateChangeReserve is the number of lines in the buffer that are reserved for
+	// state changes, so that lines about requests do not displace those that explain
+	// why the requests failed.
+	stateChangeReserve = bufferSize / 4
+	// Lines are collected for batchDelay, or up to about maxBatchBytes, and written with
+	// one system call: at hundreds of lines per second, a system call for each line
+	// would cost a small host more than all other logging work. A process that is killed
+	// loses the lines of up to batchDelay.
+	batchDelay    = 10 * time.Millisecond
+	maxBatchBytes = 64 << 10
+	// flushTimeout bounds how long Close waits for the output.
+	flushTimeout = 200 * time.Millisecond
 )
 
-// Writer takes lines. All methods are safe from any goroutine.
+// Writer is an asynchronous writer of log lines. All methods are safe for concurrent
+// use.
 type Writer struct {
 	out     io.Writer
-	ring    chan []byte
+	buffer  chan []byte
 	dropped atomic.Int64
 	stop    chan struct{}
 	done    chan struct{}
 }
 
-// New starts a book that writes to out.
+// New starts a Writer that writes to out. Close must be called once to stop it.
 func New(out io.Writer) *Writer {
-	b := &Writer{out: out, ring: make(chan []byte, ringLines), stop: make(chan struct{}), done: make(chan struct{})}
+	w := &Writer{out: out, buffer: make(chan []byte, bufferSize), stop: make(chan struct{}), done: make(chan struct{})}
 	go func() {
-		defer close(b.done)
-		b.run()
+		defer close(w.done)
+		w.run()
 	}()
-	return b
+	return w
 }
 
-func (b *Writer) run() {
-	var told int64
+func (w *Writer) run() {
+	var reported int64
 	for {
 		select {
-		case line := <-b.ring:
-			b.write(b.gathered(line))
-		case <-b.stop:
-			b.flush()
+		case line := <-w.buffer:
+			w.write(w.batch(line))
+		case <-w.stop:
+			w.flush()
 			return
 		}
-		if n := b.dropped.Load(); n > told && len(b.ring) == 0 {
-			b.write(fmt.Appendf(nil, "{\"time\":%q,\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"count\":%d}\n",
-				time.Now().Format(time.RFC3339Nano), n-told))
-			told = n
+		if n := w.dropped.Load(); n > reported && len(w.buffer) == 0 {
+			w.write(fmt.Appendf(nil, "{\"time\":%q,\"level\":\"WARN\",\"msg\":\"log lines dropped\",\"count\":%d}\n",
+				time.Now().Format(time.RFC3339Nano), n-reported))
+			reported = n
 		}
 	}
 }
 
-// gathered returns a line and those that come within a moment.
-func (b *Writer) gathered(lines []byte) []byte {
-	over := time.NewTimer(gather)
-	defer over.Stop()
+// batch waits for batchDelay, or until the Writer is closed, and returns the given line
+// together with those received until then, up to about maxBatchBytes.
+func (w *Writer) batch(lines []byte) []byte {
+	timer := time.NewTimer(batchDelay)
+	defer timer.Stop()
 	select {
-	case <-over.C:
-	case <-b.stop:
+	case <-timer.C:
+	case <-w.stop:
 	}
-	for len(lines) < gatherBytes {
+	for len(lines) < maxBatchBytes {
 		select {
-		case line := <-b.ring:
+		case line := <-w.buffer:
 			lines = append(lines, line...)
 		default:
 			return lines
@@ -86,65 +90,69 @@
 	return lines
 }
 
-// write passes over an error: there is no other place to report it to.
-func (b *Writer) write(line []byte) { _, _ = b.out.Write(line) }
+// write ignores an error, as there is no other output to report it to.
+func (w *Writer) write(line []byte) { _, _ = w.out.Write(line) }
 
-func (b *Writer) flush() {
+// flush writes the lines that are left in the buffer.
+func (w *Writer) flush() {
 	for {
 		select {
-		case line := <-b.ring:
-			b.write(line)
+		case line := <-w.buffer:
+			w.write(line)
 		default:
 			return
 		}
 	}
 }
 
-// Close writes what the ring holds, if the output takes it in time.
-func (b *Writer) Close() {
-	close(b.stop)
+// Close writes the buffered lines and stops the Writer. It waits for the output for at
+// most flushTimeout.
+func (w *Writer) Close() {
+	close(w.stop)
 	select {
-	case <-b.done:
-	case <-time.After(flushWait):
+	case <-w.done:
+	case <-time.After(flushTimeout):
 	}
 }
 
-// Dropped returns the number of lines that were dropped.
-func (b *Writer) Dropped() int64 { return b.dropped.Load() }
+// Dropped returns the number of lines dropped so far.
+func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// writer is one class of lines.
-type writer struct {
-	b *Writer
-	// free is how much of the ring must be free for a line of the class.
-	free int
+// classWriter writes the lines of one class, requests or state changes.
+type classWriter struct {
+	w *Writer
+	// reserved is how many lines of the buffer stay free for the other class.
+	reserved int
 }
 
-// Write implements io.Writer; it never fails and never waits.
-func (w writer) Write(p []byte) (int, error) {
-	if len(w.b.ring)+w.free >= ringLines {
-		w.b.dropped.Add(1)
+// Write implements io.Writer. It never fails and never blocks; a line that finds no
+// space is dropped.
+func (c classWriter) Write(p []byte) (int, error) {
+	if len(c.w.buffer)+c.reserved >= bufferSize {
+		c.w.dropped.Add(1)
 		return len(p), nil
 	}
 	select {
-	case w.b.ring <- append([]byte(nil), p...):
+	case c.w.buffer <- append([]byte(nil), p...):
 	default:
-		w.b.dropped.Add(1)
+		c.w.dropped.Add(1)
 	}
 	return len(p), nil
 }
 
-// StateChanges returns a logger for changes of what the process believes; lines
-// above the verbosity are left out.
-func (b *Writer) StateChanges(verbosity int) logr.Logger { return b.logger(0, verbosity) }
+// StateChanges returns a logger for changes of observed state. Lines above the verbosity
+// are omitted.
+func (w *Writer) StateChanges(verbosity int) logr.Logger { return w.logger(0, verbosity) }
 
-// Requests returns a logger for lines about requests.
-func (b *Writer) Requests(verbosity int) logr.Logger { return b.logger(kept, verbosity) }
+// Requests returns a logger for lines about requests. Lines above the verbosity are
+// omitted.
+func (w *Writer) Requests(verbosity int) logr.Logger { return w.logger(stateChangeReserve, verbosity) }
 
-func (b *Writer) logger(free, verbosity int) logr.Logger {
-	return logr.FromSlogHandler(slog.NewJSONHandler(writer{b, free}, &slog.HandlerOptions{Level: slog.Level(-verbosity)}))
+func (w *Writer) logger(reserved, verbosity int) logr.Logger {
+	return logr.FromSlogHandler(slog.NewJSONHandler(classWriter{w, reserved}, &slog.HandlerOptions{Level: slog.Level(-verbosity)}))
 }
 
-// ErrorText returns an error's text for a log line, or "" without one.
+// ErrorText returns an error's text for a log line, or "" if err is nil.
 func ErrorText(err error) string {
 	if err == nil {
 		return ""
--- a/internal/asynclog/asynclog_test.go
+++ b/internal/asynclog/asynclog_test.go
@@ -14,75 +14,76 @@
 	"fennelyard/internal/asynclog"
 )
 
-// stalled takes nothing until it is opened.
-type stalled struct {
+// stalledWriter blocks writes until open is closed.
+type stalledWriter struct {
 	open chan struct{}
 	mu   sync.Mutex
 	buf  bytes.Buffer
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
+func (s *stalledWriter) Write(p []byte) (int, error) {
 	<-s.open
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
 }
 
-// Standard output stands still while requests come in by thousands. No request
-// waits for its log line; lines about requests are dropped first, and the number
-// dropped is told once the output moves.
-func TestStalledOutputHoldsNothingUp(t *testing.T) {
-	out := &stalled{open: make(chan struct{})}
-	b := asynclog.New(out)
-	requests, beliefs := b.Requests(0), b.StateChanges(0)
+// TestStalledOutputDoesNotBlock tests that logging does not block while the output is
+// blocked and thousands of requests arrive. Lines about requests are dropped first, so
+// that no line about a state change is lost.
+func TestStalledOutputDoesNotBlock(t *testing.T) {
+	out := &stalledWriter{open: make(chan struct{})}
+	w := asynclog.New(out)
+	requests, changes := w.Requests(0), w.StateChanges(0)
 	for range 20000 {
 		requests.Info("request")
 	}
 	for range 500 {
-		beliefs.Info("belief")
+		changes.Info("state change")
 	}
-	require.Positive(t, b.Dropped())
+	require.Positive(t, w.Dropped())
 	close(out.open)
-	b.Close()
+	w.Close()
 	out.mu.Lock()
 	defer out.mu.Unlock()
-	require.Equal(t, 500, strings.Count(out.buf.String(), `"msg":"belief"`))
+	require.Equal(t, 500, strings.Count(out.buf.String(), `"msg":"state change"`))
 }
 
-// counted counts the calls and the lines that it gets.
-type counted struct{ calls, lines int }
+// countingWriter counts the write calls and the lines.
+type countingWriter struct{ calls, lines int }
 
-func (c *counted) Write(p []byte) (int, error) {
+func (c *countingWriter) Write(p []byte) (int, error) {
 	c.calls++
 	c.lines += bytes.Count(p, []byte("\n"))
 	return len(p), nil
 }
 
-// Lines that come within a moment of each other go out in one call, all of them and in
-// their order: a leader that wrote six hundred lines a second, each by itself, had no time
-// left to say that it leads.
-func TestLinesGoOutTogether(t *testing.T) {
+// TestLinesAreBatched tests that lines logged within batchDelay are written in one call
+// and none is lost. A leader that wrote six hundred lines a second, with a call for each,
+// had no time left to announce its leadership.
+func TestLinesAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var out counted
-		b := asynclog.New(&out)
-		log := b.StateChanges(0)
+		var out countingWriter
+		w := asynclog.New(&out)
+		log := w.StateChanges(0)
 		for range 3 {
 			for range 200 {
 				log.Info("server heard", "server", "i-1")
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		b.Close()
+		w.Close()
 		require.Equal(t, 600, out.lines)
 		require.LessOrEqual(t, out.calls, 3)
 	})
 }
 
-// BenchmarkRequestLine: what one line adds to a request, output not counted.
+// BenchmarkRequestLine measures the time that logging a line adds to a request, without
+// the output.
 func BenchmarkRequestLine(b *testing.B) {
-	book := asynclog.New(io.Discard)
-	defer book.Close()
-	log := book.Requests(0)
+	w := asynclog.New(io.Discard)
+	defer w.Close()
+	log := w.Requests(0)
 	b.ReportAllocs()
 	for range b.N {
 		log.Info("request", "id", "9c41d07be2a35f68", "outcome", "served", "status", 200, "route", "r-1", "version", 7,
