--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics names every metric of a host. No label holds the name of a
-// model, an adapter or a key, so that thousands of adapters do not make
-// thousands of series.
+// Package metrics defines the Prometheus metrics of a host. No label contains the name
+// of a model, an adapter or a key, so that thousands of adapters do not create thousands
+// of series.
 package metrics
 
 import (
@@ -15,34 +15,34 @@
 
 const namespace = "fennelyard"
 
-// Set holds the metrics of one host. It is safe from any goroutine.
+// Set holds the metrics of one host. It is safe for concurrent use.
 type Set struct {
-	registry      *prometheus.Registry
-	requests      *prometheus.CounterVec
-	refusals      *prometheus.CounterVec
-	firstByte     *prometheus.HistogramVec
-	coldStart     prometheus.Histogram
-	queueWait     prometheus.Histogram
-	forecastError prometheus.Histogram
-	retries       prometheus.Counter
-	loads         *prometheus.CounterVec
-	loadTime      *prometheus.HistogramVec
-	idleSeconds   prometheus.Counter
-	served        *prometheus.CounterVec
-	servedTime    *prometheus.HistogramVec
-	servedFirst   *prometheus.HistogramVec
-	dispatches    *prometheus.CounterVec
-	orders        *prometheus.CounterVec
-	connections   *prometheus.CounterVec
-	refused       *prometheus.CounterVec
-	teamRequests  *prometheus.CounterVec
+	registry           *prometheus.Registry
+	requests           *prometheus.CounterVec
+	refusals           *prometheus.CounterVec
+	firstByte          *prometheus.HistogramVec
+	coldStart          prometheus.Histogram
+	queueWait          prometheus.Histogram
+	forecastError      prometheus.Histogram
+	retries            prometheus.Counter
+	loads              *prometheus.CounterVec
+	loadTime           *prometheus.HistogramVec
+	idleSeconds        prometheus.Counter
+	routeRequests      *prometheus.CounterVec
+	routeRequestTime   *prometheus.HistogramVec
+	routeFirstByte     *prometheus.HistogramVec
+	dispatches         *prometheus.CounterVec
+	engineOrders       *prometheus.CounterVec
+	backendConnections *prometheus.CounterVec
+	refusedMessages    *prometheus.CounterVec
+	teamRequests       *prometheus.CounterVec
 
 	teamsMu sync.Mutex
-	// teams are the teams that are counted by themselves; guarded by teamsMu.
-	teams map[string]bool
+	// teamLabels holds the teams that have their own label value; guarded by teamsMu.
+	teamLabels map[string]bool
 }
 
-// New returns a set with a registry of its own.
+// New returns a Set with its own registry.
 func New() *Set {
 	s := &Set{
 		registry: prometheus.NewRegistry(),
@@ -77,7 +77,7 @@
 			Help: "Accelerator time held by replicas without a request (leader only).",
 		}),
 	}
-	s.joined()
+	s.registerRouteMetrics()
 	s.registry.MustRegister(s.requests, s.refusals, s.firstByte, s.coldStart, s.queueWait, s.forecastError,
 		s.retries, s.loads, s.loadTime, s.idleSeconds,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -90,51 +90,52 @@
 	})
 }
 
-// Handler serves the metrics.
+// Handler returns the HTTP handler of the scrape endpoint.
 func (s *Set) Handler() http.Handler {
 	return promhttp.HandlerFor(s.registry, promhttp.HandlerOpts{})
 }
 
-// Gauge registers a value that is read at each scrape.
+// Gauge registers a gauge whose value is read at each scrape.
 func (s *Set) Gauge(name, help string, read func() float64) {
 	s.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
-// Request counts a finished request.
+// Request counts a finished request by its kind and the class of its HTTP status.
 func (s *Set) Request(kind string, status int) {
 	classes := [...]string{"1xx", "2xx", "3xx", "4xx", "5xx"}
 	s.requests.WithLabelValues(kind, classes[min(max(status/100, 1), len(classes))-1]).Inc()
 }
 
-// Refusal counts a refused request.
+// Refusal counts a refused request by code and outcome.
 func (s *Set) Refusal(code, outcome string) { s.refusals.WithLabelValues(code, outcome).Inc() }
 
-// FirstByte records the time to the first byte of an answer.
-func (s *Set) FirstByte(kind string, took time.Duration, cold bool) {
-	s.firstByte.WithLabelValues(kind).Observe(took.Seconds())
+// FirstByte records the time from a request's arrival to the first byte of its response;
+// cold is set if no loaded replica was found.
+func (s *Set) FirstByte(kind string, duration time.Duration, cold bool) {
+	s.firstByte.WithLabelValues(kind).Observe(duration.Seconds())
 	if cold {
-		s.coldStart.Observe(took.Seconds())
+		s.coldStart.Observe(duration.Seconds())
 	}
 }
 
-// Judged records a granted request's wait beside its forecast.
+// Judged records the forecast and the actual queue wait of a granted request.
 func (s *Set) Judged(forecast, actual time.Duration) {
 	s.queueWait.Observe(actual.Seconds())
 	s.forecastError.Observe((actual - forecast).Seconds())
 }
 
-// Retry counts an attempt after the first one.
+// Retry counts an attempt after the first one of a request.
 func (s *Set) Retry() { s.retries.Inc() }
 
-// Load records an answered load order.
-func (s *Set) Load(tier string, took time.Duration, ok bool) {
+// Load records the result and the duration of a load order that an engine has replied to.
+func (s *Set) Load(tier string, duration time.Duration, ok bool) {
 	result := "failed"
 	if ok {
 		result = "done"
-		s.loadTime.WithLabelValues(tier).Observe(took.Seconds())
+		s.loadTime.WithLabelValues(tier).Observe(duration.Seconds())
 	}
 	s.loads.WithLabelValues(tier, result).Inc()
 }
 
-// Idle adds accelerator time that was held without a request.
+// Idle adds accelerator time held by replicas without a request.
 func (s *Set) Idle(t time.Duration) { s.idleSeconds.Add(t.Seconds()) }
--- a/internal/metrics/routes.go
+++ b/internal/metrics/routes.go
@@ -7,47 +7,50 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// joined makes the metrics of hosts that find each other through seeds.
-func (s *Set) joined() {
-	s.teams = map[string]bool{}
-	times := prometheus.ExponentialBuckets(0.005, 2, 13)
-	s.served = prometheus.NewCounterVec(prometheus.CounterOpts{
+// registerRouteMetrics creates and registers the metrics of hosts that discover each
+// other through seeds, which route requests to backend servers.
+func (s *Set) registerRouteMetrics() {
+	s.teamLabels = map[string]bool{}
+	buckets := prometheus.ExponentialBuckets(0.005, 2, 13)
+	s.routeRequests = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "route_requests_total", Help: "Requests on routes by kind, outcome and HTTP status; 0: broken off.",
 	}, []string{"kind", "outcome", "status"})
-	s.servedTime = prometheus.NewHistogramVec(prometheus.HistogramOpts{
-		Namespace: namespace, Name: "route_request_seconds", Help: "Time from a request's arrival to its end.", Buckets: times,
+	s.routeRequestTime = prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		Namespace: namespace, Name: "route_request_seconds", Help: "Time from a request's arrival to its end.", Buckets: buckets,
 	}, []string{"kind"})
-	s.servedFirst = prometheus.NewHistogramVec(prometheus.HistogramOpts{
+	s.routeFirstByte = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: namespace, Name: "route_first_byte_seconds", Help: "Time from a request's arrival to the first byte of its answer.",
-		Buckets: times,
+		Buckets: buckets,
 	}, []string{"kind"})
 	s.dispatches = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "dispatches_total", Help: "Requests sent to backend servers: first and repeated.",
 	}, []string{"order"})
-	s.orders = prometheus.NewCounterVec(prometheus.CounterOpts{
+	s.engineOrders = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "engine_orders_total", Help: "Orders to engines by what was ordered and the outcome (leader only).",
 	}, []string{"what", "outcome"})
-	s.connections = prometheus.NewCounterVec(prometheus.CounterOpts{
+	s.backendConnections = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "backend_connections_total", Help: "Connections to backend servers by result.",
 	}, []string{"result"})
-	s.refused = prometheus.NewCounterVec(prometheus.CounterOpts{
+	s.refusedMessages = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "refused_words_total", Help: "What servers and operators sent and could not be taken, by what it was and why.",
 	}, []string{"what", "reason"})
 	s.teamRequests = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "team_requests_total", Help: "Requests of teams by outcome; the first 64 teams by themselves, others together.",
 	}, []string{"team", "outcome"})
-	s.registry.MustRegister(s.teamRequests, s.served, s.servedTime, s.servedFirst, s.dispatches, s.orders, s.connections, s.refused)
+	s.registry.MustRegister(s.teamRequests, s.routeRequests, s.routeRequestTime, s.routeFirstByte, s.dispatches, s.engineOrders, s.backendConnections, s.refusedMessages)
 }
 
-// Refused counts a word that could not be taken.
-func (s *Set) Refused(what, reason string) { s.refused.WithLabelValues(what, reason).Inc() }
+// Refused counts a message of a server or an operator that was refused, by the kind of the
+// message and the reason.
+func (s *Set) Refused(what, reason string) { s.refusedMessages.WithLabelValues(what, reason).Inc() }
 
-// Served records the end of a request on a route.
-func (s *Set) Served(kind, outcome string, status int, took, first time.Duration, attempts int) {
-	s.served.WithLabelValues(kind, outcome, strconv.Itoa(status)).Inc()
-	s.servedTime.WithLabelValues(kind).Observe(took.Seconds())
-	if first > 0 {
-		s.servedFirst.WithLabelValues(kind).Observe(first.Seconds())
+// Served records a finished request on a route: its status, its duration, the time to the
+// first byte of the response (0 without one) and the number of attempts.
+func (s *Set) Served(kind, outcome string, status int, duration, firstByte time.Duration, attempts int) {
+	s.routeRequests.WithLabelValues(kind, outcome, strconv.Itoa(status)).Inc()
+	s.routeRequestTime.WithLabelValues(kind).Observe(duration.Seconds())
+	if firstByte > 0 {
+		s.routeFirstByte.WithLabelValues(kind).Observe(firstByte.Seconds())
 	}
 	if attempts > 0 {
 		s.dispatches.WithLabelValues("first").Inc()
@@ -56,12 +59,13 @@
 }
 
 const (
-	// teamLabels bounds the teams that are counted by themselves.
-	teamLabels = 64
-	otherTeams = "other"
+	// maxTeamLabels bounds the teams with their own label value; all others share
+	// otherTeamsLabel.
+	maxTeamLabels   = 64
+	otherTeamsLabel = "other"
 )
 
-// TeamRequest counts the end of a team's request; one of no team is not counted.
+// TeamRequest counts a finished request of a team. A request without a team is not counted.
 func (s *Set) TeamRequest(team, outcome string) {
 	if team == "" {
 		return
@@ -69,17 +73,19 @@
 	s.teamRequests.WithLabelValues(s.teamLabel(team), outcome).Inc()
 }
 
+// teamLabel returns the label value of a team.
 func (s *Set) teamLabel(team string) string {
 	s.teamsMu.Lock()
 	defer s.teamsMu.Unlock()
-	if s.teams[team] || len(s.teams) < teamLabels {
-		s.teams[team] = true
+	if s.teamLabels[team] || len(s.teamLabels) < maxTeamLabels {
+		s.teamLabels[team] = true
 		return team
 	}
-	return otherTeams
+	return otherTeamsLabel
 }
 
-// Order records an engine's answer to an order.
+// Order records the outcome of an order to an engine, to load or to unload a model or an
+// adapter.
 func (s *Set) Order(outcome string, load, adapter bool) {
 	what := "unload"
 	if load {
@@ -88,14 +94,14 @@
 	if adapter {
 		what += "-adapter"
 	}
-	s.orders.WithLabelValues(what, outcome).Inc()
+	s.engineOrders.WithLabelValues(what, outcome).Inc()
 }
 
-// Connected records a connection to a backend server.
+// Connected records an attempt to connect to a backend server; err is nil if it succeeded.
 func (s *Set) Connected(err error) {
 	result := "made"
 	if err != nil {
 		result = "failed"
 	}
-	s.connections.WithLabelValues(result).Inc()
+	s.backendConnections.WithLabelValues(result).Inc()
 }
