--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,4 +1,4 @@
-// Package tracing makes the tracer of a host.
+// Package tracing creates the OpenTelemetry tracer of a host.
 package tracing
 
 import (
@@ -12,11 +12,11 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// ExporterLog names the exporter that logs one JSON line per span.
+// ExporterLog is the exporter that writes a log line for each span.
 const ExporterLog = "log"
 
-// New returns the tracer for an exporter of the settings and a function that
-// sends what is left. Every other exporter than ExporterLog means off.
+// New returns the tracer for an exporter and a function that shuts the exporter down after
+// it has exported the remaining spans. Any exporter but ExporterLog disables tracing.
 func New(exporter, host string, log logr.Logger) (trace.Tracer, func(context.Context) error) {
 	if exporter != ExporterLog {
 		return noop.NewTracerProvider().Tracer(""), func(context.Context) error { return nil }
@@ -28,12 +28,12 @@
 	return p.Tracer("fennelyard"), p.Shutdown
 }
 
-// logExporter writes each span as one log line.
+// logExporter writes each span as a log line.
 type logExporter struct {
 	log logr.Logger
 }
 
-// ExportSpans implements the SDK's exporter.
+// ExportSpans implements sdktrace.SpanExporter.
 func (e *logExporter) ExportSpans(_ context.Context, spans []sdktrace.ReadOnlySpan) error {
 	for _, s := range spans {
 		values := []any{
@@ -49,5 +49,5 @@
 	return nil
 }
 
-// Shutdown implements the SDK's exporter.
+// Shutdown implements sdktrace.SpanExporter.
 func (e *logExporter) Shutdown(context.Context) error { return nil }
