--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	hostCount   = 3
-	engineCount = 4
-	customer    = "quillen-ridge"
-	model       = "planner-small"
-	service     = "booking-api"
-	startWait   = 15 * time.Second
-	pollEvery   = 20 * time.Millisecond
-	extra       = `entry:
+	hostCount     = 3
+	engineCount   = 4
+	customer      = "quillen-ridge"
+	model         = "planner-small"
+	service       = "booking-api"
+	stepTimeout   = 15 * time.Second
+	pollInterval  = 20 * time.Millisecond
+	extraSettings = `entry:
   directory-keep: 1s
 weight-store:
   loads-per-second: 3
@@ -44,39 +44,41 @@
 	// Out receives one line per step.
 	Out io.Writer
 	Log logr.Logger
-	// Harmful shows, in place of the rest, a request that ends the servers that run it.
+	// Harmful selects, in place of the other steps, the demo of a request that crashes the
+	// servers that run it.
 	Harmful bool
 }
 
-// step is one thing that the demo shows. It returns what came of it.
+// step is one step of the demo. run returns a description of its result.
 type step struct {
 	name string
-	do   func(context.Context) (string, error)
+	run  func(context.Context) (string, error)
 }
 
+// deployment is the deployment of the demo and the state between its steps.
 type deployment struct {
-	cfg     Config
-	layout  *Layout
-	hosts   []*host.Host
-	engines []*standin.Engine
-	app     *standin.Application
-	weights *standin.WeightStore
-	client  *fennelyard.Client
-	oper    *operator.Client
-	plan    uint64
-	// ended counts the application servers that ended under the harmful booking.
-	ended atomic.Int64
+	cfg         Config
+	layout      *Layout
+	hosts       []*host.Host
+	engines     []*standin.Engine
+	app         *standin.Application
+	weightStore *standin.WeightStore
+	client      *fennelyard.Client
+	operator    *operator.Client
+	planNumber  uint64
+	// crashed counts the application servers that the booking with crashBody has crashed.
+	crashed atomic.Int64
 }
 
-// Run starts a deployment in this process, goes through its steps and returns
-// an error when one of them did not hold.
+// Run starts a deployment in this process, runs the steps of the demo and returns an error
+// when one of them fails.
 func Run(ctx context.Context, cfg Config) error {
 	folder, err := os.MkdirTemp("", "fennelyard-demo-")
 	if err != nil {
 		return errors.Newf("make data folder: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	layout, err := NewLayout(hostCount, hostCount, folder, extra)
+	layout, err := NewLayout(hostCount, hostCount, folder, extraSettings)
 	if err != nil {
 		return err
 	}
@@ -85,32 +87,32 @@
 	steps := []step{
 		{"three hosts form a control group", d.startHosts},
 		{"four engines and an application server announce themselves", d.startBackends},
-		{"an intent that cannot hold is refused", d.refusedIntent},
-		{"an intent is answered by a plan", d.applyIntent},
+		{"an intent that cannot be satisfied is refused", d.refusedIntent},
+		{"an intent produces a plan", d.applyIntent},
 		{"the plan is confirmed", d.confirm},
 	}
 	if cfg.Harmful {
-		h := &harmful{deployment: d}
+		h := &heldBackDemo{deployment: d}
 		defer h.close()
 		steps = append(steps, h.steps()...)
 	} else {
 		steps = append(steps, []step{
-			{"a cold model answers its first caller", d.answer},
-			{"a warm model answers", d.answer},
+			{"a model that is not loaded serves its first request", d.complete},
+			{"a loaded model serves a request", d.complete},
 			{"a booking that is sent twice runs once", d.booking},
-			{"a planned stop of a host cuts nothing off", d.plannedStop},
-			{"the remaining hosts answer", d.answer},
+			{"a planned stop of a host interrupts no request", d.plannedStop},
+			{"the remaining hosts serve a request", d.complete},
 		}...)
 	}
 	for _, s := range steps {
 		began := time.Now()
-		what, err := s.do(ctx)
+		result, err := s.run(ctx)
 		took := time.Since(began).Round(time.Millisecond)
 		if err != nil {
 			_, _ = fmt.Fprintf(cfg.Out, "FAILED %8s  %s: %v\n", took, s.name, err)
 			return errors.Newf("%s: %w", s.name, err)
 		}
-		_, _ = fmt.Fprintf(cfg.Out, "ok     %8s  %s: %s\n", took, s.name, what)
+		_, _ = fmt.Fprintf(cfg.Out, "ok     %8s  %s: %s\n", took, s.name, result)
 	}
 	return nil
 }
@@ -128,7 +130,7 @@
 		d.hosts = append(d.hosts, running)
 	}
 	d.client = fennelyard.NewClient(fennelyard.ClientOptions{Addresses: d.layout.Callers(), Customer: customer, DataCentre: "hall-a"})
-	d.oper = operator.NewClient(d.layout.Hosts()[1].Operator)
+	d.operator = operator.NewClient(d.layout.Hosts()[1].Operator)
 	err := poll(ctx, func() bool {
 		for _, h := range d.hosts {
 			if !h.Ready() {
@@ -143,7 +145,7 @@
 			leader = d.layout.Hosts()[i].Name
 		}
 	}
-	return leader + " leads", err
+	return leader + " is the leader", err
 }
 
 func (d *deployment) startBackends(ctx context.Context) (string, error) {
@@ -151,7 +153,7 @@
 	if err != nil {
 		return "", errors.Newf("listen: %w", err)
 	}
-	d.weights = standin.NewWeightStore(standin.WeightStoreConfig{Listener: l, LoadsPerSecond: 3, FullSpeed: 4, MiBPerSecond: 8192})
+	d.weightStore = standin.NewWeightStore(standin.WeightStoreConfig{Listener: l, LoadsPerSecond: 3, FullSpeed: 4, MiBPerSecond: 8192})
 	for i := range engineCount {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.%d:0", 41+i))
 		if err != nil {
@@ -160,7 +162,7 @@
 		d.engines = append(d.engines, standin.NewEngine(standin.EngineConfig{
 			Listener: l, Name: fmt.Sprintf("engine-%d", i+1), DataCentre: d.layout.Hosts()[i%hostCount].DataCentre,
 			Entries: d.layout.Backends(), AcceleratorMiB: []uint64{24576, 24576}, ChecksFencing: i%2 == 0,
-			WeightStore: d.weights.Address(), DiskMiBPerSecond: 32768, TokenTime: 5 * time.Millisecond,
+			WeightStore: d.weightStore.Address(), DiskMiBPerSecond: 32768, TokenTime: 5 * time.Millisecond,
 		}))
 	}
 	l, err = net.Listen("tcp", "127.0.0.51:0")
@@ -169,15 +171,16 @@
 	}
 	d.app = standin.NewApplication(standin.ApplicationConfig{
 		Listener: l, Name: "booking-1", DataCentre: "hall-a", Service: service, Entries: d.layout.Backends(),
-		RequestTime: 20 * time.Millisecond, CrashBody: harmfulBody, Crashed: func() { d.ended.Add(1) },
+		RequestTime: 20 * time.Millisecond, CrashBody: crashBody, Crashed: func() { d.crashed.Add(1) },
 	})
 	err = poll(ctx, func() bool {
-		s, err := d.oper.Status(ctx)
+		s, err := d.operator.Status(ctx)
 		return err == nil && len(s.GetServers()) == engineCount+1
 	})
 	return fmt.Sprintf("%d servers known", engineCount+1), err
 }
 
+// intent returns the intent with the demo's model and service.
 func (d *deployment) intent() *schema.Intent {
 	return &schema.Intent{
 		Name: "autumn", Customer: &schema.CustomerIntent{Name: customer},
@@ -187,11 +190,11 @@
 }
 
 func (d *deployment) apply(ctx context.Context, id string, in *schema.Intent) (*schema.OperatorReply, error) {
-	list, err := d.oper.Intents(ctx)
+	list, err := d.operator.Intents(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return d.oper.Apply(ctx, &schema.IntentRequest{
+	return d.operator.Apply(ctx, &schema.IntentRequest{
 		CommandId: id, Operator: "demo", BaseRevision: list.GetRevision(), Intent: in,
 	})
 }
@@ -204,7 +207,7 @@
 		return "", err
 	}
 	if reply.GetResult() != "invalid" {
-		return "", errors.Newf("the result is %s", reply.GetResult())
+		return "", errors.Newf("result is %s, want invalid", reply.GetResult())
 	}
 	return reply.GetReason(), nil
 }
@@ -217,15 +220,15 @@
 	if reply.GetPlan() == nil {
 		return "", errors.Newf("no plan: %s", reply.GetReason())
 	}
-	d.plan = reply.GetPlan().GetNumber()
+	d.planNumber = reply.GetPlan().GetNumber()
 	line := reply.GetPlan().GetLines()[0]
 	return fmt.Sprintf("plan %d: %s %s, %d to %d replicas of %d MiB, cold start in %d ms, %.1f idle accelerator hours a day",
-		d.plan, line.GetChange(), line.GetTarget(), line.GetMinReplicas(), line.GetMaxReplicas(), line.GetMemoryMib(),
+		d.planNumber, line.GetChange(), line.GetTarget(), line.GetMinReplicas(), line.GetMaxReplicas(), line.GetMemoryMib(),
 		line.GetColdStartMs(), line.GetIdleAcceleratorHoursPerDay()), nil
 }
 
 func (d *deployment) confirm(ctx context.Context) (string, error) {
-	reply, err := d.oper.Decide(ctx, d.plan, true, &schema.DecisionRequest{CommandId: "demo-2", Operator: "demo"})
+	reply, err := d.operator.Decide(ctx, d.planNumber, true, &schema.DecisionRequest{CommandId: "demo-2", Operator: "demo"})
 	if err != nil {
 		return "", err
 	}
@@ -233,57 +236,57 @@
 		return "", errors.Newf("%s: %s", reply.GetResult(), reply.GetReason())
 	}
 	err = poll(ctx, func() bool {
-		list, err := d.oper.Status(ctx)
+		list, err := d.operator.Status(ctx)
 		return err == nil && list.GetEntryRevision() >= reply.GetRevision()
 	})
 	return fmt.Sprintf("in force at revision %d", reply.GetRevision()), err
 }
 
-func (d *deployment) answer(ctx context.Context) (string, error) {
-	answer, err := d.client.Complete(ctx, []byte(`{"model":"`+model+`","messages":[]}`))
+func (d *deployment) complete(ctx context.Context) (string, error) {
+	response, err := d.client.Complete(ctx, []byte(`{"model":"`+model+`","messages":[]}`))
 	if err != nil {
 		return "", err
 	}
-	var whole struct {
+	var completion struct {
 		Server  string `json:"server"`
 		Choices []struct {
 			FinishReason string `json:"finish_reason"`
 		} `json:"choices"`
 	}
-	if err := json.Unmarshal(answer.Body(), &whole); err != nil || len(whole.Choices) != 1 || whole.Choices[0].FinishReason != "stop" {
-		return "", errors.Newf("not a whole answer: %s", answer.Body())
+	if err := json.Unmarshal(response.Body(), &completion); err != nil || len(completion.Choices) != 1 || completion.Choices[0].FinishReason != "stop" {
+		return "", errors.Newf("incomplete response: %s", response.Body())
 	}
-	return "whole answer of " + whole.Server, nil
+	return "complete response from " + completion.Server, nil
 }
 
 func (d *deployment) booking(ctx context.Context) (string, error) {
 	key := fennelyard.NewKey()
 	for i := range 2 {
-		answer, err := d.client.Do(ctx, fennelyard.Request{
+		response, err := d.client.Do(ctx, fennelyard.Request{
 			Method: http.MethodPost, Path: "/services/" + service + "/book", Body: []byte(`{"rider":7}`), Key: key,
 		})
 		if err != nil {
 			return "", err
 		}
-		if answer.Replayed() != (i == 1) {
-			return "", errors.Newf("answer %d: replayed is %t", i+1, answer.Replayed())
+		if response.Replayed() != (i == 1) {
+			return "", errors.Newf("response %d: replayed is %t", i+1, response.Replayed())
 		}
 	}
 	if n := d.app.Runs().Count(key); n != 1 {
-		return "", errors.Newf("it ran %d times", n)
+		return "", errors.Newf("the booking ran %d times, want once", n)
 	}
-	return "one run, the kept answer for the second", nil
+	return "one run, the stored response for the second", nil
 }
 
-// plannedStop stops the leader's host while requests are under way.
+// plannedStop drains the leader's host while requests are sent to it.
 func (d *deployment) plannedStop(ctx context.Context) (string, error) {
-	at := 0
+	leader := 0
 	for i, h := range d.hosts {
 		if h.IsLeader() {
-			at = i
+			leader = i
 		}
 	}
-	direct := fennelyard.NewClient(fennelyard.ClientOptions{Addresses: []string{d.layout.Hosts()[at].Caller}, Customer: customer})
+	direct := fennelyard.NewClient(fennelyard.ClientOptions{Addresses: []string{d.layout.Hosts()[leader].Caller}, Customer: customer})
 	failed := make(chan error, 1)
 	stop := make(chan struct{})
 	go func() {
@@ -300,18 +303,18 @@
 			}
 		}
 	}()
-	drain, cancel := context.WithTimeout(ctx, startWait)
+	drain, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
-	d.hosts[at].Drain(drain)
+	d.hosts[leader].Drain(drain)
 	close(stop)
 	if err := <-failed; err != nil {
 		return "", err
 	}
-	left := d.layout.Hosts()[(at+1)%hostCount]
-	d.oper = operator.NewClient(left.Operator)
-	d.client = fennelyard.NewClient(fennelyard.ClientOptions{Addresses: []string{left.Caller}, Customer: customer})
-	return d.layout.Hosts()[at].Name + " stopped, it led", poll(ctx, func() bool {
-		s, err := d.oper.Status(ctx)
+	remaining := d.layout.Hosts()[(leader+1)%hostCount]
+	d.operator = operator.NewClient(remaining.Operator)
+	d.client = fennelyard.NewClient(fennelyard.ClientOptions{Addresses: []string{remaining.Caller}, Customer: customer})
+	return d.layout.Hosts()[leader].Name + " stopped; it was the leader", poll(ctx, func() bool {
+		s, err := d.operator.Status(ctx)
 		return err == nil && s.GetStale() == ""
 	})
 }
@@ -323,24 +326,24 @@
 	if d.app != nil {
 		d.app.Close()
 	}
-	if d.weights != nil {
-		d.weights.Close()
+	if d.weightStore != nil {
+		d.weightStore.Close()
 	}
 	for _, h := range d.hosts {
 		h.Close()
 	}
 }
 
-// poll waits until a condition holds.
-func poll(ctx context.Context, holds func() bool) error {
-	ctx, cancel := context.WithTimeout(ctx, startWait)
+// poll waits until a condition holds, for at most stepTimeout.
+func poll(ctx context.Context, condition func() bool) error {
+	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	defer cancel()
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-ctx.Done():
-			return errors.New("it did not come to pass in time")
+			return errors.New("timed out waiting for the expected state")
 		case <-ticker.C:
 		}
 	}
--- a/internal/demo/heldback.go
+++ b/internal/demo/heldback.go
@@ -17,52 +17,53 @@
 )
 
 const (
-	harmfulBody = `{"rider":"harmful"}`
-	// harmfulServers are the booking servers beside the first.
-	harmfulServers = 8
-	// harmfulTries is how often its caller repeats it at the most.
-	harmfulTries = 20
+	// crashBody is the body of a booking that crashes the server that runs it.
+	crashBody = `{"rider":"harmful"}`
+	// extraApplications is the number of booking servers besides the first one.
+	extraApplications = 8
+	// maxCrashAttempts bounds the attempts to have that booking held back.
+	maxCrashAttempts = 20
 )
 
-// harmful shows a request that ends the servers that run it: it is found, held back at every
-// host, and released by an operator, while other bookings are served.
-type harmful struct {
+// heldBackDemo shows a request that crashes the servers that run it: it is detected, held
+// back at every host and released by an operator, while other bookings are served.
+type heldBackDemo struct {
 	*deployment
-	apps []*standin.Application
-	key  string
+	applications []*standin.Application
+	key          string
 }
 
-func (h *harmful) steps() []step {
+func (h *heldBackDemo) steps() []step {
 	return []step{
 		{"eight more booking servers announce themselves", h.startServers},
-		{"a booking that ends each server that runs it is held back", h.repeat},
-		{"every host holds it back", h.everywhere},
-		{"other bookings are served", h.other},
-		{"an operator finds it", h.find},
-		{"and releases it", h.release},
+		{"a booking that crashes each server that runs it is held back", h.repeatUntilHeldBack},
+		{"every host holds it back", h.checkAllHosts},
+		{"other bookings are served", h.bookOthers},
+		{"an operator finds it", h.findSuspect},
+		{"and releases it", h.releaseSuspect},
 	}
 }
 
-func (h *harmful) startServers(ctx context.Context) (string, error) {
-	for i := range harmfulServers {
+func (h *heldBackDemo) startServers(ctx context.Context) (string, error) {
+	for i := range extraApplications {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.%d:0", 61+i))
 		if err != nil {
 			return "", errors.Newf("listen: %w", err)
 		}
-		h.apps = append(h.apps, standin.NewApplication(standin.ApplicationConfig{
+		h.applications = append(h.applications, standin.NewApplication(standin.ApplicationConfig{
 			Listener: l, Name: fmt.Sprintf("booking-%d", i+2), DataCentre: h.layout.Hosts()[i%hostCount].DataCentre,
-			Service: service, Entries: h.layout.Backends(), CrashBody: harmfulBody, Crashed: func() { h.ended.Add(1) },
+			Service: service, Entries: h.layout.Backends(), CrashBody: crashBody, Crashed: func() { h.crashed.Add(1) },
 		}))
 	}
-	const all = engineCount + 1 + harmfulServers
+	const all = engineCount + 1 + extraApplications
 	return fmt.Sprintf("%d servers known", all), poll(ctx, func() bool {
-		s, err := h.oper.Status(ctx)
+		s, err := h.operator.Status(ctx)
 		return err == nil && len(s.GetServers()) == all
 	})
 }
 
-// book sends a booking, by the directory of one host.
-func (h *harmful) book(ctx context.Context, host int, body string) error {
+// book sends a booking with a new key through the directory of one host.
+func (h *heldBackDemo) book(ctx context.Context, host int, body string) error {
 	c := fennelyard.NewClient(fennelyard.ClientOptions{Addresses: []string{h.layout.Hosts()[host].Caller}, Customer: customer})
 	_, err := c.Do(ctx, fennelyard.Request{
 		Method: http.MethodPost, Path: "/services/" + service + "/book", Body: []byte(body), Key: fennelyard.NewKey(),
@@ -70,33 +71,34 @@
 	return err
 }
 
-// heldBack returns when the caller may come back, if the harmful booking is held back.
-func (h *harmful) heldBack(ctx context.Context, host int) (time.Duration, bool) {
+// heldBack sends the crashing booking and reports whether it was held back, and after what
+// time the caller may retry.
+func (h *heldBackDemo) heldBack(ctx context.Context, host int) (time.Duration, bool) {
 	var refused *fennelyard.Error
-	if err := h.book(ctx, host, harmfulBody); !errors.As(err, &refused) {
+	if err := h.book(ctx, host, crashBody); !errors.As(err, &refused) {
 		return 0, false
 	}
 	return refused.RetryAfter(), refused.Code() == refusal.HeldBack.String()
 }
 
-func (h *harmful) repeat(ctx context.Context) (string, error) {
+func (h *heldBackDemo) repeatUntilHeldBack(ctx context.Context) (string, error) {
 	began := time.Now()
-	for n := range harmfulTries {
+	for n := range maxCrashAttempts {
 		if after, held := h.heldBack(ctx, n%hostCount); held {
-			return fmt.Sprintf("%d servers ended in %s, back in %s", h.ended.Load(), time.Since(began).Round(time.Millisecond),
+			return fmt.Sprintf("%d servers crashed in %s, retry after %s", h.crashed.Load(), time.Since(began).Round(time.Millisecond),
 				after.Round(time.Second)), nil
 		}
 	}
-	return "", errors.Newf("it is not held back, %d servers have ended", h.ended.Load())
+	return "", errors.Newf("the booking is not held back, %d servers have crashed", h.crashed.Load())
 }
 
-// await waits until every host holds a request back, or none does.
-func (h *harmful) await(ctx context.Context, held bool) error {
+// awaitHeldBack waits until every host holds a request back, or until none does.
+func (h *heldBackDemo) awaitHeldBack(ctx context.Context, held bool) error {
 	for _, host := range h.layout.Hosts() {
-		at := operator.NewClient(host.Operator)
+		client := operator.NewClient(host.Operator)
 		if err := poll(ctx, func() bool {
-			list, err := at.Suspects(ctx)
-			return err == nil && (heldBackOf(list) != "") == held
+			list, err := client.Suspects(ctx)
+			return err == nil && (firstHeldBack(list) != "") == held
 		}); err != nil {
 			return errors.Newf("%s: %w", host.Name, err)
 		}
@@ -104,14 +106,14 @@
 	return nil
 }
 
-func (h *harmful) everywhere(ctx context.Context) (string, error) {
-	if err := h.await(ctx, true); err != nil {
+func (h *heldBackDemo) checkAllHosts(ctx context.Context) (string, error) {
+	if err := h.awaitHeldBack(ctx, true); err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%d hosts, %d servers have ended", hostCount, h.ended.Load()), nil
+	return fmt.Sprintf("%d hosts, %d servers have crashed", hostCount, h.crashed.Load()), nil
 }
 
-func (h *harmful) other(ctx context.Context) (string, error) {
+func (h *heldBackDemo) bookOthers(ctx context.Context) (string, error) {
 	for host := range hostCount {
 		if err := h.book(ctx, host, `{"rider":8}`); err != nil {
 			return "", err
@@ -120,19 +122,19 @@
 	return fmt.Sprintf("%d of %d", hostCount, hostCount), nil
 }
 
-func (h *harmful) find(ctx context.Context) (string, error) {
-	list, err := h.oper.Suspects(ctx)
+func (h *heldBackDemo) findSuspect(ctx context.Context) (string, error) {
+	list, err := h.operator.Suspects(ctx)
 	if err != nil {
 		return "", err
 	}
-	if h.key = heldBackOf(list); h.key == "" {
+	if h.key = firstHeldBack(list); h.key == "" {
 		return "", errors.New("nothing is held back")
 	}
 	return fmt.Sprintf("request %s...", h.key[:8]), nil
 }
 
-// heldBackOf returns the key of the first request of a list that is held back, or "".
-func heldBackOf(list *schema.SuspectList) string {
+// firstHeldBack returns the key of the first request in the list that is held back, or "".
+func firstHeldBack(list *schema.SuspectList) string {
 	for _, s := range list.GetSuspects() {
 		if s.GetHeldBackForMs() > 0 {
 			return s.GetKey()
@@ -141,18 +143,18 @@
 	return ""
 }
 
-func (h *harmful) release(ctx context.Context) (string, error) {
-	if _, err := h.oper.Release(ctx, h.key, &schema.ReleaseRequest{Operator: "demo"}); err != nil {
+func (h *heldBackDemo) releaseSuspect(ctx context.Context) (string, error) {
+	if _, err := h.operator.Release(ctx, h.key, &schema.ReleaseRequest{Operator: "demo"}); err != nil {
 		return "", err
 	}
-	if err := h.await(ctx, false); err != nil {
+	if err := h.awaitHeldBack(ctx, false); err != nil {
 		return "", err
 	}
 	return "no host holds it back any more", nil
 }
 
-func (h *harmful) close() {
-	for _, a := range h.apps {
+func (h *heldBackDemo) close() {
+	for _, a := range h.applications {
 		a.Close()
 	}
 }
--- a/internal/demo/layout.go
+++ b/internal/demo/layout.go
@@ -1,5 +1,5 @@
-// Package demo runs a whole deployment on loopback addresses and shows what it
-// does, step by step.
+// Package demo runs a complete deployment on loopback addresses and demonstrates its
+// features step by step.
 package demo
 
 import (
@@ -13,15 +13,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Layout is a small deployment on loopback addresses.
+// Layout describes a small deployment on loopback addresses.
 type Layout struct {
 	hosts []HostLayout
-	// folder holds the data folder of each host.
+	// folder contains the data folder of each host.
 	folder string
 	extra  string
 }
 
-// HostLayout is the addresses of one host.
+// HostLayout holds the name, the role and the addresses of one host.
 type HostLayout struct {
 	Name       string
 	DataCentre string
@@ -32,9 +32,9 @@
 	Backend    string
 }
 
-// NewLayout finds free addresses for a number of hosts, the first controls of
-// them with the control role, spread over three data centres. Each host has an
-// IP number of its own. The extra settings are appended to each host's file.
+// NewLayout finds free addresses for a number of hosts, spread over three data centres.
+// The first controls hosts have the control role. Each host has its own IP address. The
+// extra settings are appended to each host's settings file.
 func NewLayout(hosts, controls int, folder, extra string) (*Layout, error) {
 	l := &Layout{folder: folder, extra: extra}
 	centres := []string{"hall-a", "hall-b", "hall-c"}
@@ -51,20 +51,20 @@
 	return l, nil
 }
 
-// used counts the IP numbers that this process has taken.
-var used atomic.Uint32
+// usedIPs counts the IP addresses that this process has allocated.
+var usedIPs atomic.Uint32
 
-// nextIP returns a loopback number that no other host of this process has, and
-// that another process is unlikely to have: a port that was free a moment ago
-// would else be taken by a deployment that starts at the same time.
+// nextIP returns a loopback address that no other host of this process uses and that
+// another process is unlikely to use. Otherwise, a deployment that starts at the same time
+// could take a port between the check that it is free and its use.
 func nextIP() string {
 	const lowest, spread, hostsPer = 16, 100, 254
 	pid := os.Getpid()
-	n := used.Add(1) - 1
+	n := usedIPs.Add(1) - 1
 	return fmt.Sprintf("127.%d.%d.%d", lowest+pid/256%spread, pid%256, 1+n%hostsPer)
 }
 
-// FreeAddresses returns addresses on an IP number that nobody listens on.
+// FreeAddresses returns n addresses on an IP address that no process listens on.
 func FreeAddresses(ip string, n int) ([]string, error) {
 	var out []string
 	var open []net.Listener
@@ -84,15 +84,15 @@
 	return out, nil
 }
 
-// Hosts returns the hosts.
+// Hosts returns the hosts of the deployment.
 func (l *Layout) Hosts() []HostLayout { return l.hosts }
 
-// Callers returns the caller addresses of all hosts.
+// Callers returns the addresses of all hosts for callers.
 func (l *Layout) Callers() []string {
 	return l.addresses(func(h HostLayout) string { return h.Caller })
 }
 
-// Backends returns the announcement addresses of all hosts.
+// Backends returns the addresses of all hosts for announcements of backend servers.
 func (l *Layout) Backends() []string {
 	return l.addresses(func(h HostLayout) string { return h.Backend })
 }
@@ -108,7 +108,7 @@
 // DataFolder returns the data folder of a host.
 func (l *Layout) DataFolder(host string) string { return filepath.Join(l.folder, host) }
 
-// YAML returns the settings file of a host.
+// YAML returns the contents of a host's settings file.
 func (l *Layout) YAML(host string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "deployment: demo\nhost: %s\nhosts:\n", host)
