--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -149,7 +149,7 @@
 	return l, nil
 }
 
-// startControl starts the control role, if the settings give it to this host, and
+// startControl starts the control role, if this host has it by the settings, and
 // returns its request handlers.
 func (h *Host) startControl() (peer.Handlers, error) {
 	if !h.self.GetControl() {
--- a/internal/host/path_test.go
+++ b/internal/host/path_test.go
@@ -229,7 +229,7 @@
 
 // parseTokens returns the tokens of an SSE body, whether it ends with [DONE], and
 // whether it contains an error event.
-func parseTokens(body []byte) (words []string, done, failed bool) {
+func parseTokens(body []byte) (tokens []string, done, failed bool) {
 	for _, block := range bytes.Split(body, []byte("\n\n")) {
 		text := string(block)
 		switch {
@@ -239,11 +239,11 @@
 			done = true
 		case strings.Contains(text, `"content":"`):
 			_, rest, _ := strings.Cut(text, `"content":"`)
-			word, _, _ := strings.Cut(rest, `"`)
-			words = append(words, word)
+			token, _, _ := strings.Cut(rest, `"`)
+			tokens = append(tokens, token)
 		}
 	}
-	return words, done, failed
+	return tokens, done, failed
 }
 
 // TestStreams tests streams that are interrupted. If the engine numbers its events, the
@@ -295,15 +295,15 @@
 			h.awaitServers(1)
 			h.configure(1)
 			r := h.post("/v1/chat/completions", `{"model":"sorter","stream":true}`)
-			words, done, failed := parseTokens(r.body)
+			tokens, done, failed := parseTokens(r.body)
 			assert.Equal(t, c.done, done, "%s", r.body)
 			assert.Equal(t, !c.done, failed)
 			want := all
 			if !c.done {
 				want = c.cutAfter
 			}
-			require.Len(t, words, want)
-			for i, w := range words {
+			require.Len(t, tokens, want)
+			for i, w := range tokens {
 				assert.Equal(t, fmt.Sprintf("t%d", i+1), w)
 			}
 		})
--- a/internal/order/observed.go
+++ b/internal/order/observed.go
@@ -109,9 +109,9 @@
 // orders.
 const missingTimeout = 3 * time.Second
 
-// lacksReplica reports whether an engine that once reported a replica has no longer
-// reported it for missingTimeout.
-func (st *observedState) lacksReplica(res *schema.Reservation, now time.Time) bool {
+// isMissing reports whether the engine of a loaded replica once reported the replica and
+// has not reported it for missingTimeout.
+func (st *observedState) isMissing(res *schema.Reservation, now time.Time) bool {
 	o := st.servers[res.GetServer()]
 	if o == nil || o.server.GetIncarnation() != res.GetIncarnation() || o.loaded[res.GetTarget()] {
 		return false
--- a/internal/order/reports.go
+++ b/internal/order/reports.go
@@ -18,7 +18,7 @@
 	d.cfg.Ledger.View(func(_ ledger.Status, r *ledger.Records) {
 		for _, res := range r.Reservations() {
 			loaded := res.GetState() == schema.ReservationState_RESERVATION_STATE_LOADED
-			if loaded && d.observed.lacksReplica(res, now) {
+			if loaded && d.observed.isMissing(res, now) {
 				missing = append(missing, res)
 			}
 		}
@@ -91,7 +91,7 @@
 		waiting = waiting || dm.GetWaiting() > 0
 	}
 	d.dirty = d.dirty || waiting
-	if waiting && (now.Sub(d.lastRound) >= minRoundGap || d.lacksForecast(report.GetDemands())) {
+	if waiting && (now.Sub(d.lastRound) >= minRoundGap || d.needsForecast(report.GetDemands())) {
 		d.runRound()
 	}
 	out := &schema.ReportReply{}
@@ -110,9 +110,9 @@
 	return base
 }
 
-// lacksForecast reports whether a target with waiting requests has no forecast of the
+// needsForecast reports whether a target with waiting requests has no forecast of the
 // last round.
-func (d *Driver) lacksForecast(demands []*schema.Demand) bool {
+func (d *Driver) needsForecast(demands []*schema.Demand) bool {
 	return slices.ContainsFunc(demands, func(x *schema.Demand) bool {
 		_, ok := d.forecasts[x.GetTarget()]
 		return x.GetWaiting() > 0 && !ok
