--- /dev/null
+++ b/internal/host/heldback_test.go
@@ -0,0 +1,106 @@
+package host_test
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"fennelyard/internal/routing"
+	"fennelyard/internal/standin"
+)
+
+// TestCrashingBookingIsHeldBack tests a booking that crashes every application server
+// that runs it, and that its caller repeats with a new key each time. After three
+// servers it must be refused as not run, with Retry-After, and reach no further server,
+// also after a restart of this host. Other bookings are served at the same time.
+func TestCrashingBookingIsHeldBack(t *testing.T) {
+	const (
+		crashing = `{"seat":"harmful"}`
+		ordinary = `{"seat":"4"}`
+		servers  = 6
+	)
+	for _, method := range []string{http.MethodPost, http.MethodPut} {
+		t.Run(method, func(t *testing.T) {
+			t.Parallel()
+			h := newHarness(t, "")
+			var crashes atomic.Int64
+			for i := range servers {
+				h.application(fmt.Sprint("app-", i), func(c *standin.ApplicationConfig) {
+					c.CrashBody, c.Crashed = crashing, func() { crashes.Add(1) }
+				})
+			}
+			h.awaitServers(servers)
+			h.configure(1)
+			sent := 0
+			book := func(body string) reply {
+				sent++
+				return h.book(method, body, fmt.Sprint("k", sent))
+			}
+			// The request that crashes the third server may have run, so that its own outcome
+			// is not not-run.
+			var got reply
+			for range servers {
+				if got = book(crashing); got.code == "held-back" && got.outcome == "not-run" {
+					break
+				}
+				// The caller gets its response before the server's end is confirmed.
+				h.eventually("all crashes recorded", func() bool { return int64(h.maxEndedServers()) == crashes.Load() })
+			}
+			require.Equal(t, "held-back", got.code)
+			require.Equal(t, "not-run", got.outcome)
+			require.NotEmpty(t, got.header.Get("Retry-After"))
+			// The host retries a PUT at other servers at once; these retries count like those
+			// of the caller.
+			require.Equal(t, int64(3), crashes.Load())
+			require.Equal(t, http.StatusOK, book(ordinary).status)
+
+			before := crashes.Load()
+			h.eventually("the suspect recorded in the control log", func() bool { return h.host.Suspects() > 0 })
+			h.restart()
+			h.eventually("an ordinary booking served", func() bool { return book(ordinary).status == http.StatusOK })
+			require.Equal(t, "held-back", book(crashing).code)
+			require.Equal(t, before, crashes.Load())
+		})
+	}
+}
+
+// maxEndedServers returns the largest number of servers that the host knows to have
+// ended while they ran the same request.
+func (h *harness) maxEndedServers() int {
+	list, err := h.operator.Suspects(context.Background())
+	require.NoError(h.t, err)
+	most := 0
+	for _, s := range list.GetSuspects() {
+		most = max(most, len(s.GetEndedServers()))
+	}
+	return most
+}
+
+// book sends one booking without the client's retries.
+func (h *harness) book(method, body, key string) reply {
+	h.t.Helper()
+	q, err := http.NewRequestWithContext(context.Background(), method, h.callerURL("/services/"+testService+"/book"), strings.NewReader(body))
+	require.NoError(h.t, err)
+	q.Header.Set(routing.HeaderCustomer, testCustomer)
+	if method == http.MethodPost {
+		q.Header.Set("Idempotency-Key", key)
+	}
+	return h.do(q)
+}
+
+// do sends a request.
+func (h *harness) do(q *http.Request) reply {
+	h.t.Helper()
+	resp, err := http.DefaultClient.Do(q)
+	require.NoError(h.t, err)
+	defer func() { _ = resp.Body.Close() }()
+	data, err := io.ReadAll(resp.Body)
+	require.NoError(h.t, err)
+	return newReply(resp, data)
+}
