--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for what the system meets: a model
-// engine, an application server and the weight store. They serve the demo and
-// the tests; their faults are set by function fields.
+// Package standin simulates the systems that fennelyard works with: a model engine, an application
+// server, the weight store and the network. The demo and the tests use it; faults are injected by
+// function fields of the configurations.
 package standin
 
 import (
@@ -16,35 +16,35 @@
 )
 
 const (
-	announcePath   = "/v1/announcements"
-	announceEvery  = 500 * time.Millisecond
-	announceWait   = time.Second
-	maxReplyBytes  = 1 << 20
-	headerTimeout  = 5 * time.Second
-	leaveAnnounces = 3
+	announcePath       = "/v1/announcements"
+	announceInterval   = 500 * time.Millisecond
+	announceTimeout    = time.Second
+	maxReplyBytes      = 1 << 20
+	readHeaderTimeout  = 5 * time.Second
+	leaveAnnouncements = 3
 )
 
-// announcer posts a server's announcements to one entry, and to the next one
-// when that does not answer. A leaving server tells every entry it knows.
+// announcer posts a server's announcements to the first entry that accepts them. A server that is
+// leaving announces it to every known entry.
 type announcer struct {
-	build  func() *schema.AnnounceRequest
-	client *http.Client
-	stop   chan struct{}
-	done   chan struct{}
-	once   sync.Once
-	kick   chan struct{}
+	newRequest func() *schema.AnnounceRequest
+	client     *http.Client
+	stop       chan struct{}
+	done       chan struct{}
+	once       sync.Once
+	trigger    chan struct{}
 
 	mu       sync.Mutex
 	entries  []string
 	sequence uint64
 }
 
-func newAnnouncer(entries []string, build func() *schema.AnnounceRequest) *announcer {
+func newAnnouncer(entries []string, newRequest func() *schema.AnnounceRequest) *announcer {
 	a := &announcer{
-		build: build, entries: entries, client: &http.Client{Timeout: announceWait},
-		stop: make(chan struct{}), done: make(chan struct{}), kick: make(chan struct{}, 1),
+		newRequest: newRequest, entries: entries, client: &http.Client{Timeout: announceTimeout},
+		stop: make(chan struct{}), done: make(chan struct{}), trigger: make(chan struct{}, 1),
 	}
-	ticker := time.NewTicker(announceEvery)
+	ticker := time.NewTicker(announceInterval)
 	go func() {
 		defer close(a.done)
 		defer ticker.Stop()
@@ -54,17 +54,17 @@
 			case <-a.stop:
 				return
 			case <-ticker.C:
-			case <-a.kick:
+			case <-a.trigger:
 			}
 		}
 	}()
 	return a
 }
 
-// now announces without waiting for the next turn.
-func (a *announcer) now() {
+// announceNow triggers an announcement before the next tick.
+func (a *announcer) announceNow() {
 	select {
-	case a.kick <- struct{}{}:
+	case a.trigger <- struct{}{}:
 	default:
 	}
 }
@@ -72,11 +72,11 @@
 func (a *announcer) announce() {
 	a.mu.Lock()
 	a.sequence++
-	q := a.build()
-	q.Sequence = a.sequence
+	request := a.newRequest()
+	request.Sequence = a.sequence
 	entries := append([]string(nil), a.entries...)
 	a.mu.Unlock()
-	data, err := protojson.Marshal(q)
+	data, err := protojson.Marshal(request)
 	if err != nil {
 		return
 	}
@@ -85,8 +85,8 @@
 		if reply == nil {
 			continue
 		}
-		a.learn(entries, i, reply)
-		if !q.GetLeaving() {
+		a.updateEntries(entries, i, reply)
+		if !request.GetLeaving() {
 			return
 		}
 	}
@@ -109,16 +109,17 @@
 	return reply
 }
 
-// learn keeps the entries that an entry named, and the first ones behind them
-// for the case that all of these die.
-func (a *announcer) learn(old []string, at int, reply *schema.AnnounceReply) {
+// updateEntries sets the list of entries after a reply of old[index]: first those that the reply
+// names, then the previously known ones beginning with old[index], as a fallback in case all of the
+// named ones fail.
+func (a *announcer) updateEntries(old []string, index int, reply *schema.AnnounceReply) {
 	seen := map[string]bool{}
 	var next []string
-	for _, list := range [][]string{reply.GetAddresses(), old[at:], old} {
-		for _, x := range list {
-			if !seen[x] {
-				seen[x] = true
-				next = append(next, x)
+	for _, list := range [][]string{reply.GetAddresses(), old[index:], old} {
+		for _, address := range list {
+			if !seen[address] {
+				seen[address] = true
+				next = append(next, address)
 			}
 		}
 	}
@@ -127,10 +128,10 @@
 	a.mu.Unlock()
 }
 
-// stopSoon announces nothing from the next turn on.
-func (a *announcer) stopSoon() { a.once.Do(func() { close(a.stop) }) }
+// requestStop stops the announcements without waiting for the current one.
+func (a *announcer) requestStop() { a.once.Do(func() { close(a.stop) }) }
 
 func (a *announcer) close() {
-	a.stopSoon()
+	a.requestStop()
 	<-a.done
 }
--- a/internal/standin/application.go
+++ b/internal/standin/application.go
@@ -22,54 +22,54 @@
 	Service     string
 	Incarnation uint64
 	Entries     []string
-	// RequestTime is how long a request takes.
+	// RequestTime is the processing time of a request.
 	RequestTime time.Duration
-	// Runs, where set, counts the runs of all servers of a service together.
+	// Runs, if set, counts the runs of all servers of a service together.
 	Runs *Runs
-	// CrashBody, where set, is the body of a request under which the server ends as soon
-	// as it begins to run it; Ended, where set, is called then.
+	// CrashBody, if set, is the body of a request that crashes the server as soon as its
+	// processing starts. Crashed, if set, is called then.
 	CrashBody string
 	Crashed   func()
-	// Handle, where set, answers in place of the booking; for faults.
+	// Handle, if set, replaces the booking handler to inject faults.
 	Handle http.HandlerFunc
 }
 
-// Runs counts how often each request key ran. It is safe from any goroutine.
+// Runs counts the runs of each request key. It is safe for concurrent use.
 type Runs struct {
-	mu   sync.Mutex
-	byID map[string]int
+	mu     sync.Mutex
+	counts map[string]int
 }
 
-// NewRuns returns an empty count.
-func NewRuns() *Runs { return &Runs{byID: map[string]int{}} }
+// NewRuns returns an empty counter.
+func NewRuns() *Runs { return &Runs{counts: map[string]int{}} }
 
-// Add counts one run and returns the number of runs so far.
+// Add counts one run of a key and returns the number of its runs so far.
 func (r *Runs) Add(key string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.byID[key]++
-	return r.byID[key]
+	r.counts[key]++
+	return r.counts[key]
 }
 
-// Count returns how often a key ran.
+// Count returns the number of runs of a key.
 func (r *Runs) Count(key string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.byID[key]
+	return r.counts[key]
 }
 
-// Max returns the highest count of any key.
+// Max returns the largest number of runs of any key.
 func (r *Runs) Max() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	most := 0
-	for _, n := range r.byID {
-		most = max(most, n)
+	highest := 0
+	for _, n := range r.counts {
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
-// Application is an application server whose bookings must not run twice.
+// Application simulates an application server whose bookings must not run more than once.
 type Application struct {
 	cfg       ApplicationConfig
 	server    *http.Server
@@ -80,7 +80,7 @@
 	leaving bool
 }
 
-// NewApplication starts an application server and announces it.
+// NewApplication starts an application server and its announcements.
 func NewApplication(cfg ApplicationConfig) *Application {
 	if cfg.Incarnation == 0 {
 		cfg.Incarnation = uint64(time.Now().UnixNano())
@@ -91,9 +91,9 @@
 	a := &Application{cfg: cfg, done: make(chan struct{})}
 	handle := cfg.Handle
 	if handle == nil {
-		handle = a.book
+		handle = a.handleBooking
 	}
-	a.server = &http.Server{Handler: handle, ReadHeaderTimeout: headerTimeout}
+	a.server = &http.Server{Handler: handle, ReadHeaderTimeout: readHeaderTimeout}
 	a.announcer = newAnnouncer(cfg.Entries, a.announcement)
 	go func() {
 		defer close(a.done)
@@ -105,7 +105,7 @@
 // Address returns the server's IP:PORT.
 func (a *Application) Address() string { return a.cfg.Listener.Addr().String() }
 
-// Runs returns the counted runs.
+// Runs returns the counter of runs.
 func (a *Application) Runs() *Runs { return a.cfg.Runs }
 
 func (a *Application) announcement() *schema.AnnounceRequest {
@@ -117,8 +117,8 @@
 	}
 }
 
-func (a *Application) book(w http.ResponseWriter, q *http.Request) {
-	body, err := io.ReadAll(q.Body)
+func (a *Application) handleBooking(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
@@ -126,34 +126,34 @@
 		a.crash()
 		return
 	}
-	n := 0
-	if q.Method != http.MethodGet {
-		n = a.cfg.Runs.Add(q.Header.Get("Idempotency-Key"))
+	runs := 0
+	if r.Method != http.MethodGet {
+		runs = a.cfg.Runs.Add(r.Header.Get("Idempotency-Key"))
 	}
 	time.Sleep(a.cfg.RequestTime)
-	w.Header().Set(routing.HeaderRequestID, q.Header.Get(routing.HeaderRequestID))
+	w.Header().Set(routing.HeaderRequestID, r.Header.Get(routing.HeaderRequestID))
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(map[string]any{
-		"path": q.URL.Path, "runs": n, "bytes": len(body), "booking": fmt.Sprintf("b-%s", q.Header.Get("Idempotency-Key")),
+		"path": r.URL.Path, "runs": runs, "bytes": len(body), "booking": fmt.Sprintf("b-%s", r.Header.Get("Idempotency-Key")),
 	})
 }
 
-// crash ends the server at once, as a process does that ends by what it runs. Close is
-// still to be called.
+// crash stops the server at once, like a process that crashes on a request. Close must still be
+// called.
 func (a *Application) crash() {
 	if a.cfg.Crashed != nil {
 		a.cfg.Crashed()
 	}
-	a.announcer.stopSoon()
+	a.announcer.requestStop()
 	_ = a.server.Close()
 }
 
-// Leave announces to all entries that the server is about to stop.
+// Leave announces to all known entries that the server is about to stop.
 func (a *Application) Leave() {
 	a.mu.Lock()
 	a.leaving = true
 	a.mu.Unlock()
-	for range leaveAnnounces {
+	for range leaveAnnouncements {
 		a.announcer.announce()
 	}
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -23,28 +23,29 @@
 	Listener   net.Listener
 	Name       string
 	DataCentre string
-	// Incarnation 0 takes the time of the start.
+	// Incarnation is replaced by the start time in Unix nanoseconds if it is 0.
 	Incarnation    uint64
 	Entries        []string
 	AcceleratorMiB []uint64
-	// ChecksFencing makes the engine refuse orders with an old number.
+	// ChecksFencing makes the engine refuse orders for another incarnation or with an outdated
+	// fencing number.
 	ChecksFencing bool
-	// WeightStore is asked for checkpoints that are not cached; empty: they
-	// load at DiskMiBPerSecond.
+	// WeightStore is the address of the weight store, from which checkpoints are fetched that
+	// are not cached. If it is empty they load at DiskMiBPerSecond.
 	WeightStore      string
 	DiskMiBPerSecond float64
-	// CachedCheckpoints maps checkpoints that lie on the engine's disk at the start.
+	// CachedCheckpoints names the checkpoints on the engine's disk at the start.
 	CachedCheckpoints []string
-	// TokenTime is the time for one token; Tokens the length of an answer.
+	// TokenTime is the time to generate one token, Tokens the number of tokens of a response;
+	// 0 takes 8.
 	TokenTime time.Duration
 	Tokens    int
 	// LoadTime is added to every load.
 	LoadTime time.Duration
-	// Complete, where set, answers completions in the engine's place; for
-	// faults. It is called only for a loaded model.
-	Complete func(w http.ResponseWriter, q *http.Request, model string)
-	// Load, where set, is called before a load takes effect; its error makes
-	// the load fail.
+	// Complete, if set, replaces the completion handler to inject faults. It is called only for
+	// loaded models.
+	Complete func(w http.ResponseWriter, r *http.Request, model string)
+	// Load, if set, is called before a model is loaded. If it returns an error the load fails.
 	Load func(o *schema.Order) error
 }
 
@@ -52,7 +53,8 @@
 	order *schema.Order
 }
 
-// Engine is a model engine that holds no weights and answers with counted words.
+// Engine simulates a model engine without loading weights. Its completions are the numbered tokens
+// w1, w2 and so on.
 type Engine struct {
 	cfg       EngineConfig
 	server    *http.Server
@@ -60,21 +62,21 @@
 	done      chan struct{}
 
 	mu sync.Mutex
-	// loaded holds what is in accelerator memory, by target.
+	// loaded maps the targets in accelerator memory to the orders that loaded them.
 	loaded map[string]loadedTarget
 	cached map[string]bool
-	// highest is the highest fencing number seen for each target.
-	highest     map[string]uint64
-	outstanding int
-	requests    int
-	orders      int
-	leaving     bool
-	// overcommits counts loads that did not fit: there must be none.
+	// highestFencing is the highest fencing number received for each target.
+	highestFencing map[string]uint64
+	outstanding    int
+	requests       int
+	orders         int
+	leaving        bool
+	// overcommits counts the loads that exceeded the accelerator's memory; tests expect 0.
 	overcommits int
-	loads       map[string]int
+	loadCounts  map[string]int
 }
 
-// NewEngine starts an engine and announces it.
+// NewEngine starts an engine and its announcements.
 func NewEngine(cfg EngineConfig) *Engine {
 	if cfg.Incarnation == 0 {
 		cfg.Incarnation = uint64(time.Now().UnixNano())
@@ -84,16 +86,16 @@
 	}
 	e := &Engine{
 		cfg: cfg, done: make(chan struct{}), loaded: map[string]loadedTarget{},
-		cached: map[string]bool{}, highest: map[string]uint64{}, loads: map[string]int{},
+		cached: map[string]bool{}, highestFencing: map[string]uint64{}, loadCounts: map[string]int{},
 	}
 	for _, c := range cfg.CachedCheckpoints {
 		e.cached[c] = true
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+engine.OrdersPath, e.order)
-	mux.HandleFunc("POST /v1/chat/completions", e.complete)
-	mux.HandleFunc("POST /v1/completions", e.complete)
-	e.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
+	mux.HandleFunc("POST "+engine.OrdersPath, e.handleOrder)
+	mux.HandleFunc("POST /v1/chat/completions", e.handleCompletion)
+	mux.HandleFunc("POST /v1/completions", e.handleCompletion)
+	e.server = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	e.announcer = newAnnouncer(cfg.Entries, e.announcement)
 	go func() {
 		defer close(e.done)
@@ -108,35 +110,35 @@
 func (e *Engine) announcement() *schema.AnnounceRequest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	q := &schema.AnnounceRequest{
+	request := &schema.AnnounceRequest{
 		Name: e.cfg.Name, Incarnation: e.cfg.Incarnation, Kind: "engine", Address: e.Address(),
 		DataCentre: e.cfg.DataCentre, AcceleratorMib: e.cfg.AcceleratorMiB,
 		ChecksFencing: e.cfg.ChecksFencing, Leaving: e.leaving, Outstanding: uint32(e.outstanding),
 	}
 	for t := range e.loaded {
-		q.Loaded = append(q.Loaded, t)
+		request.Loaded = append(request.Loaded, t)
 	}
-	slices.Sort(q.Loaded)
+	slices.Sort(request.Loaded)
 	for t := range e.cached {
-		q.Cached = append(q.Cached, &schema.CachedAnnouncement{Target: t, Tier: "disk"})
+		request.Cached = append(request.Cached, &schema.CachedAnnouncement{Target: t, Tier: "disk"})
 	}
-	slices.SortFunc(q.GetCached(), func(a, b *schema.CachedAnnouncement) int {
+	slices.SortFunc(request.GetCached(), func(a, b *schema.CachedAnnouncement) int {
 		if a.GetTarget() < b.GetTarget() {
 			return -1
 		}
 		return 1
 	})
-	return q
+	return request
 }
 
-func (e *Engine) order(w http.ResponseWriter, q *http.Request) {
-	data, err := io.ReadAll(q.Body)
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
+	data, err := io.ReadAll(r.Body)
 	o := &schema.Order{}
 	if err != nil || protojson.Unmarshal(data, o) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	reply := e.execute(o)
+	reply := e.executeOrder(o)
 	out, err := protojson.Marshal(reply)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -146,27 +148,28 @@
 	_, _ = w.Write(out)
 }
 
-func (e *Engine) execute(o *schema.Order) *schema.OrderReply {
+func (e *Engine) executeOrder(o *schema.Order) *schema.OrderReply {
 	reply := &schema.OrderReply{Fencing: o.GetFencing(), Outcome: engine.OutcomeDone, Incarnation: e.cfg.Incarnation}
-	if why := e.admit(o); why != "" {
-		reply.Outcome, reply.Reason = engine.OutcomeRefused, why
+	if reason := e.checkOrder(o); reason != "" {
+		reply.Outcome, reply.Reason = engine.OutcomeRefused, reason
 		return reply
 	}
 	if o.GetKind() == engine.KindUnload {
 		e.mu.Lock()
 		delete(e.loaded, o.GetTarget())
 		e.mu.Unlock()
-		e.announcer.now()
+		e.announcer.announceNow()
 		return reply
 	}
 	if err := e.load(o); err != nil {
 		reply.Outcome, reply.Reason = engine.OutcomeFailed, err.Error()
 	}
-	e.announcer.now()
+	e.announcer.announceNow()
 	return reply
 }
 
-func (e *Engine) admit(o *schema.Order) string {
+// checkOrder returns the reason to refuse an order, or "" to accept it.
+func (e *Engine) checkOrder(o *schema.Order) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders++
@@ -176,19 +179,19 @@
 	if o.GetIncarnation() != e.cfg.Incarnation {
 		return "another incarnation"
 	}
-	if o.GetFencing() < e.highest[o.GetTarget()] {
-		return fmt.Sprintf("order %d was seen", e.highest[o.GetTarget()])
+	if o.GetFencing() < e.highestFencing[o.GetTarget()] {
+		return fmt.Sprintf("order %d was seen", e.highestFencing[o.GetTarget()])
 	}
-	e.highest[o.GetTarget()] = o.GetFencing()
+	e.highestFencing[o.GetTarget()] = o.GetFencing()
 	return ""
 }
 
 func (e *Engine) load(o *schema.Order) error {
 	e.mu.Lock()
-	_, there := e.loaded[o.GetTarget()]
+	_, loaded := e.loaded[o.GetTarget()]
 	onDisk := e.cached[o.GetTarget()]
 	e.mu.Unlock()
-	if there {
+	if loaded {
 		return nil
 	}
 	if e.cfg.Load != nil {
@@ -208,14 +211,14 @@
 	defer e.mu.Unlock()
 	e.cached[o.GetTarget()] = true
 	e.loaded[o.GetTarget()] = loadedTarget{o}
-	e.loads[o.GetTarget()]++
-	if e.used(o.GetAccelerator()) > e.cfg.AcceleratorMiB[o.GetAccelerator()] {
+	e.loadCounts[o.GetTarget()]++
+	if e.memoryUsed(o.GetAccelerator()) > e.cfg.AcceleratorMiB[o.GetAccelerator()] {
 		e.overcommits++
 	}
 	return nil
 }
 
-func (e *Engine) used(accelerator uint32) uint64 {
+func (e *Engine) memoryUsed(accelerator uint32) uint64 {
 	var used uint64
 	for _, l := range e.loaded {
 		if l.order.GetAccelerator() == accelerator {
@@ -225,38 +228,38 @@
 	return used
 }
 
-func (e *Engine) complete(w http.ResponseWriter, q *http.Request) {
+func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Model  string `json:"model"`
 		Stream bool   `json:"stream"`
 	}
-	if json.NewDecoder(q.Body).Decode(&body) != nil {
+	if json.NewDecoder(r.Body).Decode(&body) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	id := q.Header.Get(routing.HeaderRequestID)
+	id := r.Header.Get(routing.HeaderRequestID)
 	w.Header().Set(routing.HeaderRequestID, id)
-	if !e.begin(body.Model) {
+	if !e.beginRequest(body.Model) {
 		w.Header().Set(routing.HeaderOutcome, "not-run")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer e.end()
+	defer e.endRequest()
 	if e.cfg.Complete != nil {
-		e.cfg.Complete(w, q, body.Model)
+		e.cfg.Complete(w, r, body.Model)
 		return
 	}
 	w.Header().Set(routing.HeaderOutstanding, fmt.Sprint(e.Outstanding()))
 	if body.Stream {
-		e.stream(w, q, id, body.Model)
+		e.streamCompletion(w, r, id, body.Model)
 		return
 	}
 	time.Sleep(time.Duration(e.cfg.Tokens) * e.cfg.TokenTime)
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer(id, body.Model, e.cfg.Name, e.cfg.Tokens))
+	_ = json.NewEncoder(w).Encode(completion(id, body.Model, e.cfg.Name, e.cfg.Tokens))
 }
 
-func (e *Engine) begin(model string) bool {
+func (e *Engine) beginRequest(model string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, ok := e.loaded[model]; !ok {
@@ -267,20 +270,20 @@
 	return true
 }
 
-func (e *Engine) end() {
+func (e *Engine) endRequest() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.outstanding--
 }
 
-func (e *Engine) stream(w http.ResponseWriter, q *http.Request, id, model string) {
+func (e *Engine) streamCompletion(w http.ResponseWriter, r *http.Request, id, model string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher, _ := w.(http.Flusher)
 	var from int
-	_, _ = fmt.Sscan(q.Header.Get("Last-Event-ID"), &from)
+	_, _ = fmt.Sscan(r.Header.Get("Last-Event-ID"), &from)
 	for i := from + 1; i <= e.cfg.Tokens; i++ {
 		time.Sleep(e.cfg.TokenTime)
-		data, err := json.Marshal(chunk(id, model, i))
+		data, err := json.Marshal(completionChunk(id, model, i))
 		if err != nil {
 			return
 		}
@@ -291,7 +294,7 @@
 	flusher.Flush()
 }
 
-func answer(id, model, server string, tokens int) map[string]any {
+func completion(id, model, server string, tokens int) map[string]any {
 	text := ""
 	for i := 1; i <= tokens; i++ {
 		text += fmt.Sprintf("w%d ", i)
@@ -303,35 +306,35 @@
 	}
 }
 
-func chunk(id, model string, n int) map[string]any {
+func completionChunk(id, model string, n int) map[string]any {
 	return map[string]any{
 		"id": id, "object": "chat.completion.chunk", "model": model,
 		"choices": []any{map[string]any{"index": 0, "delta": map[string]any{"content": fmt.Sprintf("w%d ", n)}}},
 	}
 }
 
-// Outstanding returns the number of requests under way.
+// Outstanding returns the number of requests in progress.
 func (e *Engine) Outstanding() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.outstanding
 }
 
-// Requests returns the number of requests that were run.
+// Requests returns the number of requests that were started.
 func (e *Engine) Requests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.requests
 }
 
-// Loads returns how often a target was loaded.
+// Loads returns the number of loads of a target.
 func (e *Engine) Loads(target string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.loads[target]
+	return e.loadCounts[target]
 }
 
-// Loaded lists what is in accelerator memory.
+// Loaded returns the sorted targets in accelerator memory.
 func (e *Engine) Loaded() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -343,19 +346,19 @@
 	return out
 }
 
-// Overcommits returns how many loads did not fit.
+// Overcommits returns the number of loads that exceeded the accelerator's memory.
 func (e *Engine) Overcommits() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.overcommits
 }
 
-// Leave announces to all entries that the engine is about to stop.
+// Leave announces to all known entries that the engine is about to stop.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	e.leaving = true
 	e.mu.Unlock()
-	for range leaveAnnounces {
+	for range leaveAnnouncements {
 		e.announcer.announce()
 	}
 }
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -14,46 +14,49 @@
 )
 
 const (
-	// networkDelay is the time that bytes are on their way.
+	// networkDelay is the one-way latency.
 	networkDelay = time.Millisecond
-	// networkWindow is how many bytes one direction of a connection takes before the
-	// writer waits.
+	// networkWindow is the number of bytes in flight in one direction of a connection from which
+	// the writer blocks.
 	networkWindow = 256 << 10
-	// networkBacklog is how many connections wait to be accepted.
+	// networkBacklog is the number of connections that may wait for Accept.
 	networkBacklog = 128
-	// firstOutgoingPort is the first port of connections' near ends.
+	// firstOutgoingPort is the port after which local ports of outgoing connections are assigned.
 	firstOutgoingPort = 20000
 )
 
-// Network connects hosts in memory, so that whole hosts run on simulated time. Hosts are
-// named by their IP addresses. A host can be cut off in one direction, and it can lose
-// power: its connections then fall silent for good, as nobody resets them. All methods
-// are safe from any goroutine.
+// Network simulates a network between hosts in memory, so that whole hosts run on simulated time.
+// Hosts are identified by their IP addresses. Traffic can be blocked in one direction, and a host
+// can lose power: its connections then stay silent forever, as nothing resets them. All methods
+// are safe for concurrent use.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*networkListener
-	// cuts are the directions in which nothing arrives.
-	cuts map[direction]bool
-	// starts counts the times that a host was given power, so that connections of an
-	// earlier start stay silent.
-	starts map[string]int
-	dark   map[string]bool
-	ports  int
-	// changed is closed and replaced when any of the above is another.
+	// blocked contains the directions in which nothing is delivered.
+	blocked map[direction]bool
+	// powerLosses counts the power losses of each host, so that connections opened before the
+	// last one stay silent.
+	powerLosses map[string]int
+	poweredOff  map[string]bool
+	lastPort    int
+	// changed is closed and replaced when any of the fields above changes.
 	changed chan struct{}
 }
 
+// direction identifies the traffic from one host to another by their IP addresses.
 type direction struct{ from, to string }
 
-// NewNetwork returns a network without hosts; each host appears as it listens or dials.
+// NewNetwork returns a network. Hosts need no registration; they exist as soon as they listen or
+// dial.
 func NewNetwork() *Network {
 	return &Network{
-		listeners: map[string]*networkListener{}, cuts: map[direction]bool{}, starts: map[string]int{},
-		dark: map[string]bool{}, ports: firstOutgoingPort, changed: make(chan struct{}),
+		listeners: map[string]*networkListener{}, blocked: map[direction]bool{}, powerLosses: map[string]int{},
+		poweredOff: map[string]bool{}, lastPort: firstOutgoingPort, changed: make(chan struct{}),
 	}
 }
 
-// Listen takes connections at an address, as net.Listen does.
+// Listen listens at an IP:PORT address, like net.Listen. It returns EADDRINUSE if the address is in
+// use.
 func (n *Network) Listen(_, address string) (net.Listener, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -64,63 +67,64 @@
 	if n.listeners[address] != nil {
 		return nil, errors.Newf("listen at %s: %w", address, syscall.EADDRINUSE)
 	}
-	l := &networkListener{n: n, at: at, queue: make(chan net.Conn, networkBacklog), closed: make(chan struct{})}
+	l := &networkListener{network: n, address: at, queue: make(chan net.Conn, networkBacklog), closed: make(chan struct{})}
 	n.listeners[address] = l
 	return l, nil
 }
 
-// DialFrom returns the function with which a host connects to others.
+// DialFrom returns the dial function of the host with an IP address.
 func (n *Network) DialFrom(ip string) func(ctx context.Context, address string) (net.Conn, error) {
 	return func(ctx context.Context, address string) (net.Conn, error) { return n.dial(ctx, ip, address) }
 }
 
-// Cut takes a direction away, or gives it back. What is on its way then is held up.
-func (n *Network) Cut(from, to string, cut bool) {
+// Cut blocks or unblocks a direction. Data in flight is delayed until the direction is unblocked.
+func (n *Network) Cut(from, to string, block bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if cut {
-		n.cuts[direction{from, to}] = true
+	if block {
+		n.blocked[direction{from, to}] = true
 	} else {
-		delete(n.cuts, direction{from, to})
+		delete(n.blocked, direction{from, to})
 	}
-	n.wake()
+	n.notify()
 }
 
-// PowerOff takes a host's power: it is not heard any more, and its ports are free. What runs
-// on it must be ended by the caller.
+// PowerOff simulates a power loss of a host: its connections become silent and its listening ports
+// become free. The caller must stop what runs on the host.
 func (n *Network) PowerOff(ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.dark[ip] = true
-	n.starts[ip]++
+	n.poweredOff[ip] = true
+	n.powerLosses[ip]++
 	for address, l := range n.listeners {
-		if l.at.Addr().String() == ip {
+		if l.address.Addr().String() == ip {
 			delete(n.listeners, address)
 		}
 	}
-	n.wake()
+	n.notify()
 }
 
-// PowerOn gives a host its power back.
+// PowerOn restores a host's power.
 func (n *Network) PowerOn(ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.dark, ip)
-	n.wake()
+	delete(n.poweredOff, ip)
+	n.notify()
 }
 
-// wake needs mu.
-func (n *Network) wake() {
+// notify closes and replaces changed; mu must be held.
+func (n *Network) notify() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// passes reports whether bytes of a connection arrive, and what to wait for where not.
-func (n *Network) passes(p *pipe) (bool, <-chan struct{}) {
+// deliverable reports whether data of a pipe is delivered now. The channel is closed at the next
+// change of the network's state.
+func (n *Network) deliverable(p *pipe) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	lost := n.starts[p.way.from] != p.fromStart || n.starts[p.way.to] != p.toStart
-	return !lost && !n.cuts[p.way], n.changed
+	lost := n.powerLosses[p.direction.from] != p.fromPowerLosses || n.powerLosses[p.direction.to] != p.toPowerLosses
+	return !lost && !n.blocked[p.direction], n.changed
 }
 
 func (n *Network) dial(ctx context.Context, from, address string) (net.Conn, error) {
@@ -135,15 +139,15 @@
 	case <-time.After(2 * networkDelay):
 	}
 	for {
-		l, reachable, changed := n.find(from, to, address)
+		l, reachable, changed := n.lookup(from, to, address)
 		if reachable && l == nil {
 			return nil, errors.Newf("dial %s: %w", address, syscall.ECONNREFUSED)
 		}
 		if reachable {
-			near, far := n.connect(from, at)
+			client, server := n.connect(from, at)
 			select {
-			case l.queue <- far:
-				return near, nil
+			case l.queue <- server:
+				return client, nil
 			case <-l.closed:
 				return nil, errors.Newf("dial %s: %w", address, syscall.ECONNREFUSED)
 			case <-ctx.Done():
@@ -158,33 +162,34 @@
 	}
 }
 
-// find returns who listens at an address, and whether a connection gets there and back.
-func (n *Network) find(from, to, address string) (l *networkListener, reachable bool, changed <-chan struct{}) {
+// lookup returns the listener at an address, nil if there is none, and whether packets pass in both
+// directions. changed is closed at the next change of the network's state.
+func (n *Network) lookup(from, to, address string) (l *networkListener, reachable bool, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	reachable = !n.dark[from] && !n.dark[to] && !n.cuts[direction{from, to}] && !n.cuts[direction{to, from}]
+	reachable = !n.poweredOff[from] && !n.poweredOff[to] && !n.blocked[direction{from, to}] && !n.blocked[direction{to, from}]
 	return n.listeners[address], reachable, n.changed
 }
 
-func (n *Network) connect(from string, at netip.AddrPort) (near, far *networkConn) {
+func (n *Network) connect(from string, at netip.AddrPort) (client, server *networkConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ports++
-	local := netip.AddrPortFrom(netip.MustParseAddr(from), uint16(n.ports))
+	n.lastPort++
+	local := netip.AddrPortFrom(netip.MustParseAddr(from), uint16(n.lastPort))
 	to := at.Addr().String()
-	there := &pipe{n: n, way: direction{from, to}, fromStart: n.starts[from], toStart: n.starts[to], changed: make(chan struct{})}
-	back := &pipe{n: n, way: direction{to, from}, fromStart: n.starts[to], toStart: n.starts[from], changed: make(chan struct{})}
-	near = &networkConn{in: back, out: there, local: net.TCPAddrFromAddrPort(local), remote: net.TCPAddrFromAddrPort(at)}
-	far = &networkConn{in: there, out: back, local: net.TCPAddrFromAddrPort(at), remote: net.TCPAddrFromAddrPort(local)}
-	return near, far
+	outbound := &pipe{network: n, direction: direction{from, to}, fromPowerLosses: n.powerLosses[from], toPowerLosses: n.powerLosses[to], changed: make(chan struct{})}
+	inbound := &pipe{network: n, direction: direction{to, from}, fromPowerLosses: n.powerLosses[to], toPowerLosses: n.powerLosses[from], changed: make(chan struct{})}
+	client = &networkConn{in: inbound, out: outbound, local: net.TCPAddrFromAddrPort(local), remote: net.TCPAddrFromAddrPort(at)}
+	server = &networkConn{in: outbound, out: inbound, local: net.TCPAddrFromAddrPort(at), remote: net.TCPAddrFromAddrPort(local)}
+	return client, server
 }
 
 type networkListener struct {
-	n      *Network
-	at     netip.AddrPort
-	queue  chan net.Conn
-	closed chan struct{}
-	once   sync.Once
+	network *Network
+	address netip.AddrPort
+	queue   chan net.Conn
+	closed  chan struct{}
+	once    sync.Once
 }
 
 // Accept implements net.Listener.
@@ -201,33 +206,34 @@
 func (l *networkListener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
-		l.n.mu.Lock()
-		defer l.n.mu.Unlock()
-		if address := l.at.String(); l.n.listeners[address] == l {
-			delete(l.n.listeners, address)
+		l.network.mu.Lock()
+		defer l.network.mu.Unlock()
+		if address := l.address.String(); l.network.listeners[address] == l {
+			delete(l.network.listeners, address)
 		}
 	})
 	return nil
 }
 
 // Addr implements net.Listener.
-func (l *networkListener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.at) }
+func (l *networkListener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.address) }
 
 // pipe is one direction of a connection.
 type pipe struct {
-	n   *Network
-	way direction
-	// fromStart and toStart are the starts of the two hosts that the connection is of.
-	fromStart, toStart int
+	network   *Network
+	direction direction
+	// fromPowerLosses and toPowerLosses are the numbers of power losses of the two hosts at the
+	// time the connection was opened.
+	fromPowerLosses, toPowerLosses int
 
 	mu sync.Mutex
-	// segments are on their way or wait to be read; guarded by mu, as all below.
+	// The fields below are guarded by mu. segments are in flight or wait to be read.
 	segments []segment
 	size     int
-	// finished is set once the writer has closed, and gone once the reader has.
-	finished, gone  bool
-	readBy, writeBy time.Time
-	changed         chan struct{}
+	// writerClosed and readerClosed are set once that end has closed the connection.
+	writerClosed, readerClosed  bool
+	readDeadline, writeDeadline time.Time
+	changed                     chan struct{}
 }
 
 type segment struct {
@@ -235,25 +241,25 @@
 	data []byte
 }
 
-// wake needs mu.
-func (p *pipe) wake() {
+// notify closes and replaces changed; mu must be held.
+func (p *pipe) notify() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
 func (p *pipe) read(b []byte) (int, error) {
 	for {
-		passes, network := p.n.passes(p)
+		delivers, networkChanged := p.network.deliverable(p)
 		p.mu.Lock()
 		wait, changed := time.Duration(-1), p.changed
 		switch {
-		case p.gone:
+		case p.readerClosed:
 			p.mu.Unlock()
 			return 0, net.ErrClosed
-		case over(p.readBy):
+		case expired(p.readDeadline):
 			p.mu.Unlock()
 			return 0, os.ErrDeadlineExceeded
-		case passes && len(p.segments) > 0:
+		case delivers && len(p.segments) > 0:
 			s := &p.segments[0]
 			if wait = time.Until(s.due); wait <= 0 {
 				n := copy(b, s.data)
@@ -261,59 +267,61 @@
 					p.segments = p.segments[1:]
 				}
 				p.size -= n
-				p.wake()
+				p.notify()
 				p.mu.Unlock()
 				return n, nil
 			}
-		case passes && p.finished:
+		case delivers && p.writerClosed:
 			p.mu.Unlock()
 			return 0, io.EOF
 		}
-		wait = sooner(wait, p.readBy)
+		wait = minWait(wait, p.readDeadline)
 		p.mu.Unlock()
-		rest(wait, changed, network)
+		waitForChange(wait, changed, networkChanged)
 	}
 }
 
 func (p *pipe) write(b []byte) (int, error) {
 	for {
-		passes, network := p.n.passes(p)
+		delivers, networkChanged := p.network.deliverable(p)
 		p.mu.Lock()
 		changed := p.changed
 		switch {
-		case p.finished:
+		case p.writerClosed:
 			p.mu.Unlock()
 			return 0, net.ErrClosed
-		case p.gone && passes:
+		case p.readerClosed && delivers:
 			p.mu.Unlock()
 			return 0, syscall.EPIPE
-		case over(p.writeBy):
+		case expired(p.writeDeadline):
 			p.mu.Unlock()
 			return 0, os.ErrDeadlineExceeded
 		case p.size < networkWindow:
 			p.segments = append(p.segments, segment{time.Now().Add(networkDelay), append([]byte(nil), b...)})
 			p.size += len(b)
-			p.wake()
+			p.notify()
 			p.mu.Unlock()
 			return len(b), nil
 		}
-		wait := sooner(-1, p.writeBy)
+		wait := minWait(-1, p.writeDeadline)
 		p.mu.Unlock()
-		rest(wait, changed, network)
+		waitForChange(wait, changed, networkChanged)
 	}
 }
 
-func (p *pipe) set(f func()) {
+// update calls f with mu held and wakes the readers and writers.
+func (p *pipe) update(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
-	p.wake()
+	p.notify()
 }
 
-func over(deadline time.Time) bool { return !deadline.IsZero() && !time.Now().Before(deadline) }
+func expired(deadline time.Time) bool { return !deadline.IsZero() && !time.Now().Before(deadline) }
 
-// sooner returns the shorter of a wait, below 0: none, and the time to a deadline.
-func sooner(wait time.Duration, deadline time.Time) time.Duration {
+// minWait returns the shorter of wait and the time until deadline. A negative wait and a zero
+// deadline mean no limit.
+func minWait(wait time.Duration, deadline time.Time) time.Duration {
 	if deadline.IsZero() {
 		return wait
 	}
@@ -324,11 +332,12 @@
 	return wait
 }
 
-func rest(wait time.Duration, changed, network <-chan struct{}) {
+// waitForChange waits until a channel is closed or, unless wait is negative, wait has elapsed.
+func waitForChange(wait time.Duration, changed, networkChanged <-chan struct{}) {
 	if wait < 0 {
 		select {
 		case <-changed:
-		case <-network:
+		case <-networkChanged:
 		}
 		return
 	}
@@ -336,7 +345,7 @@
 	defer timer.Stop()
 	select {
 	case <-changed:
-	case <-network:
+	case <-networkChanged:
 	case <-timer.C:
 	}
 }
@@ -354,8 +363,8 @@
 
 // Close implements net.Conn.
 func (c *networkConn) Close() error {
-	c.in.set(func() { c.in.gone = true })
-	c.out.set(func() { c.out.finished = true })
+	c.in.update(func() { c.in.readerClosed = true })
+	c.out.update(func() { c.out.writerClosed = true })
 	return nil
 }
 
@@ -372,12 +381,12 @@
 
 // SetReadDeadline implements net.Conn.
 func (c *networkConn) SetReadDeadline(t time.Time) error {
-	c.in.set(func() { c.in.readBy = t })
+	c.in.update(func() { c.in.readDeadline = t })
 	return nil
 }
 
 // SetWriteDeadline implements net.Conn.
 func (c *networkConn) SetWriteDeadline(t time.Time) error {
-	c.out.set(func() { c.out.writeBy = t })
+	c.out.update(func() { c.out.writeDeadline = t })
 	return nil
 }
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -13,25 +13,25 @@
 // WeightStoreConfig configures a weight store.
 type WeightStoreConfig struct {
 	Listener net.Listener
-	// LoadsPerSecond bounds the starts of loads; FullSpeed loads run side by
-	// side at MiBPerSecond each, more share it.
+	// LoadsPerSecond limits the rate at which loads start. Up to FullSpeed concurrent loads run at
+	// MiBPerSecond each; more share the rate of FullSpeed loads.
 	LoadsPerSecond float64
 	FullSpeed      int
 	MiBPerSecond   float64
 }
 
-// WeightStore is a weight store that sends no bytes: it answers when a load of a
-// size would have come through.
+// WeightStore simulates a weight store. It sends no weights but delays the response by the time that
+// the load would take.
 type WeightStore struct {
 	cfg    WeightStoreConfig
 	server *http.Server
 	done   chan struct{}
 
-	mu      sync.Mutex
-	next    time.Time
-	running int
-	loads   int
-	// slowdown divides the rate; 1 is full speed.
+	mu        sync.Mutex
+	nextStart time.Time
+	running   int
+	loads     int
+	// slowdown is the divisor of the transfer rate; 1 is full speed.
 	slowdown float64
 }
 
@@ -39,8 +39,8 @@
 func NewWeightStore(cfg WeightStoreConfig) *WeightStore {
 	w := &WeightStore{cfg: cfg, done: make(chan struct{}), slowdown: 1}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /weights/{target}/{version}", w.get)
-	w.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
+	mux.HandleFunc("GET /weights/{target}/{version}", w.handleGet)
+	w.server = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	go func() {
 		defer close(w.done)
 		_ = w.server.Serve(cfg.Listener)
@@ -51,11 +51,11 @@
 // Address returns the store's IP:PORT.
 func (w *WeightStore) Address() string { return w.cfg.Listener.Addr().String() }
 
-// SetSlowdown divides the store's rate.
-func (w *WeightStore) SetSlowdown(by float64) {
+// SetSlowdown sets the divisor of the store's transfer rate.
+func (w *WeightStore) SetSlowdown(divisor float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.slowdown = by
+	w.slowdown = divisor
 }
 
 // Loads returns the number of loads that were started.
@@ -65,30 +65,30 @@
 	return w.loads
 }
 
-func (w *WeightStore) get(rw http.ResponseWriter, q *http.Request) {
-	mib, err := strconv.ParseFloat(q.URL.Query().Get("mib"), 64)
+func (w *WeightStore) handleGet(rw http.ResponseWriter, r *http.Request) {
+	mib, err := strconv.ParseFloat(r.URL.Query().Get("mib"), 64)
 	if err != nil {
 		rw.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	took := w.begin(mib)
-	defer w.end()
+	duration := w.beginLoad(mib)
+	defer w.endLoad()
 	select {
-	case <-q.Context().Done():
-	case <-time.After(took):
+	case <-r.Context().Done():
+	case <-time.After(duration):
 		rw.WriteHeader(http.StatusOK)
 	}
 }
 
-func (w *WeightStore) begin(mib float64) time.Duration {
+func (w *WeightStore) beginLoad(mib float64) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
 	start := now
-	if w.next.After(now) {
-		start = w.next
+	if w.nextStart.After(now) {
+		start = w.nextStart
 	}
-	w.next = start.Add(time.Duration(float64(time.Second) / w.cfg.LoadsPerSecond))
+	w.nextStart = start.Add(time.Duration(float64(time.Second) / w.cfg.LoadsPerSecond))
 	w.running++
 	w.loads++
 	rate := w.cfg.MiBPerSecond / w.slowdown
@@ -98,7 +98,7 @@
 	return start.Sub(now) + time.Duration(mib/rate*float64(time.Second))
 }
 
-func (w *WeightStore) end() {
+func (w *WeightStore) endLoad() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.running--
@@ -110,7 +110,7 @@
 	<-w.done
 }
 
-// fetchWeights reads a checkpoint from a store.
+// fetchWeights fetches a checkpoint of a size in MiB from the weight store at an address.
 func fetchWeights(client *http.Client, address, target, version string, mib uint64) error {
 	resp, err := client.Get("http://" + address + "/weights/" + target + "/" + version + "?mib=" + strconv.FormatUint(mib, 10))
 	if err != nil {
