--- a/internal/schema/source.go
+++ b/internal/schema/source.go
@@ -2,8 +2,8 @@
 
 import _ "embed"
 
-// SettingsSource is the schema of settings and intents, with its comments, from
-// which docs/SETTINGS.md is made.
+// SettingsSource is the text of settings.proto, from whose comments docs/SETTINGS.md
+// is generated.
 //
 //go:embed settings.proto
 var SettingsSource string
