--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -17,34 +17,34 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-const durationName = "google.protobuf.Duration"
+const durationFullName = "google.protobuf.Duration"
 
-// document is a file that was decoded, with the line of every key in it.
+// document is a decoded file: the line number of each key path and the faults found.
 type document struct {
 	file   string
 	lines  map[string]int
 	faults Faults
 }
 
-// decode reads YAML into a message whose JSON names are the keys. All faults
+// decode decodes YAML into a message whose JSON names are the keys. All faults
 // are collected in the document.
-func decode(file string, data []byte, into proto.Message) *document {
+func decode(file string, data []byte, target proto.Message) *document {
 	d := &document{file: file, lines: map[string]int{}}
-	// Duplicate keys are reported below, together with every other fault.
+	// decodeMessage reports duplicate keys, together with all other faults.
 	parsed, err := parser.ParseBytes(data, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
-		d.add(syntaxLine(err), "file", "not YAML: "+firstLine(err.Error()), "")
+		d.addFault(syntaxErrorLine(err), "file", "invalid YAML: "+firstLine(err.Error()), "")
 		return d
 	}
 	if len(parsed.Docs) != 1 || parsed.Docs[0].Body == nil {
-		d.add(1, "file", "not one YAML document", "write one document")
+		d.addFault(1, "file", "not exactly one YAML document", "write one document")
 		return d
 	}
-	d.message("", parsed.Docs[0].Body, into.ProtoReflect())
+	d.decodeMessage("", parsed.Docs[0].Body, target.ProtoReflect())
 	return d
 }
 
-func syntaxLine(err error) int {
+func syntaxErrorLine(err error) int {
 	var syntax yaml.Error
 	if errors.As(err, &syntax) && syntax.GetToken() != nil {
 		return syntax.GetToken().Position.Line
@@ -57,23 +57,23 @@
 	return line
 }
 
-func (d *document) add(line int, key, wrong, right string) {
-	d.faults = append(d.faults, Fault{d.file, line, key, wrong, right})
+func (d *document) addFault(line int, key, problem, remedy string) {
+	d.faults = append(d.faults, Fault{d.file, line, key, problem, remedy})
 }
 
-// fault reports on a key by its path; a key that is not in the file is reported
-// at the line of the nearest part that is.
-func (d *document) fault(path, wrong, right string) {
-	at := path
-	for at != "" && d.lines[at] == 0 {
-		i := strings.LastIndexAny(at, ".[")
-		at = at[:max(i, 0)]
+// addKeyFault adds a fault of the key at a path. A key that is not in the file is
+// reported at the line of its nearest ancestor that is, or at line 1.
+func (d *document) addKeyFault(path, problem, remedy string) {
+	ancestor := path
+	for ancestor != "" && d.lines[ancestor] == 0 {
+		i := strings.LastIndexAny(ancestor, ".[")
+		ancestor = ancestor[:max(i, 0)]
 	}
-	d.add(max(d.lines[at], 1), path, wrong, right)
+	d.addFault(max(d.lines[ancestor], 1), path, problem, remedy)
 }
 
-// err returns the faults in the order of lines, or nil.
-func (d *document) err() error {
+// sortedFaults returns the faults as an error, ordered by line, or nil if there are none.
+func (d *document) sortedFaults() error {
 	if len(d.faults) == 0 {
 		return nil
 	}
@@ -81,25 +81,25 @@
 	return d.faults
 }
 
-func (d *document) message(path string, node ast.Node, m protoreflect.Message) {
+func (d *document) decodeMessage(path string, node ast.Node, m protoreflect.Message) {
 	values, ok := mappingValues(node)
 	if !ok {
-		d.add(lineOf(node), pathOr(path, "file"), "not a mapping", "write keys with values")
+		d.addFault(lineNumber(node), pathOrDefault(path, "file"), "not a mapping", "write key: value pairs")
 		return
 	}
 	seen := map[string]bool{}
 	for _, v := range values {
 		key := v.Key.String()
-		at := joinPath(path, key)
-		d.lines[at] = lineOf(v.Key)
+		keyPath := joinPath(path, key)
+		d.lines[keyPath] = lineNumber(v.Key)
 		field := m.Descriptor().Fields().ByJSONName(key)
 		switch {
 		case field == nil:
-			d.add(lineOf(v.Key), at, "unknown key", knownKeys(m.Descriptor(), key))
+			d.addFault(lineNumber(v.Key), keyPath, "unknown key", knownKeysHint(m.Descriptor(), key))
 		case seen[key]:
-			d.add(lineOf(v.Key), at, "given twice", "keep one")
+			d.addFault(lineNumber(v.Key), keyPath, "duplicate key", "remove one")
 		default:
-			d.field(at, v.Value, m, field)
+			d.decodeField(keyPath, v.Value, m, field)
 		}
 		seen[key] = true
 	}
@@ -115,51 +115,51 @@
 	return nil, false
 }
 
-func (d *document) field(path string, node ast.Node, m protoreflect.Message, f protoreflect.FieldDescriptor) {
+func (d *document) decodeField(path string, node ast.Node, m protoreflect.Message, f protoreflect.FieldDescriptor) {
 	if _, null := node.(*ast.NullNode); null {
-		d.add(lineOf(node), path, "no value", "give one or leave the key out")
+		d.addFault(lineNumber(node), path, "no value", "set a value or remove the key")
 		return
 	}
 	if f.IsList() {
-		d.list(path, node, m, f)
+		d.decodeList(path, node, m, f)
 		return
 	}
-	if f.Kind() == protoreflect.MessageKind && string(f.Message().FullName()) != durationName {
-		d.message(path, node, m.Mutable(f).Message())
+	if f.Kind() == protoreflect.MessageKind && string(f.Message().FullName()) != durationFullName {
+		d.decodeMessage(path, node, m.Mutable(f).Message())
 		return
 	}
-	if v, ok := d.scalar(path, node, f); ok {
+	if v, ok := d.decodeScalar(path, node, f); ok {
 		m.Set(f, v)
 	}
 }
 
-func (d *document) list(path string, node ast.Node, m protoreflect.Message, f protoreflect.FieldDescriptor) {
+func (d *document) decodeList(path string, node ast.Node, m protoreflect.Message, f protoreflect.FieldDescriptor) {
 	seq, ok := node.(*ast.SequenceNode)
 	if !ok {
-		d.add(lineOf(node), path, "not a list", "write items that begin with -")
+		d.addFault(lineNumber(node), path, "not a list", "write list items that begin with -")
 		return
 	}
 	list := m.Mutable(f).List()
 	for i, item := range seq.Values {
-		at := path + "[" + strconv.Itoa(i) + "]"
-		d.lines[at] = lineOf(item)
+		itemPath := path + "[" + strconv.Itoa(i) + "]"
+		d.lines[itemPath] = lineNumber(item)
 		if f.Kind() == protoreflect.MessageKind {
 			element := list.NewElement()
-			d.message(at, item, element.Message())
+			d.decodeMessage(itemPath, item, element.Message())
 			list.Append(element)
 			continue
 		}
-		if v, ok := d.scalar(at, item, f); ok {
+		if v, ok := d.decodeScalar(itemPath, item, f); ok {
 			list.Append(v)
 		}
 	}
 }
 
-func (d *document) scalar(path string, node ast.Node, f protoreflect.FieldDescriptor) (protoreflect.Value, bool) {
+func (d *document) decodeScalar(path string, node ast.Node, f protoreflect.FieldDescriptor) (protoreflect.Value, bool) {
 	text, isString := scalarText(node)
-	v, want, err := scalarValue(f, text, isString)
+	v, expected, err := parseScalar(f, text, isString)
 	if err != nil {
-		d.add(lineOf(node), path, fmt.Sprintf("%q is not %s", text, want), exampleOf(f))
+		d.addFault(lineNumber(node), path, fmt.Sprintf("%q is not %s", text, expected), exampleHint(f))
 		return protoreflect.Value{}, false
 	}
 	return v, true
@@ -175,7 +175,7 @@
 	return node.String(), false
 }
 
-func scalarValue(f protoreflect.FieldDescriptor, text string, isString bool) (protoreflect.Value, string, error) {
+func parseScalar(f protoreflect.FieldDescriptor, text string, isString bool) (protoreflect.Value, string, error) {
 	switch f.Kind() {
 	case protoreflect.StringKind:
 		return protoreflect.ValueOfString(text), "a string", nil
@@ -190,7 +190,7 @@
 		return protoreflect.ValueOfUint32(uint32(n)), "a whole number from 0 to 4294967295", err
 	case protoreflect.Uint64Kind:
 		n, err := strconv.ParseUint(text, 10, 64)
-		return protoreflect.ValueOfUint64(n), "a whole number from 0 up", err
+		return protoreflect.ValueOfUint64(n), "a whole number, 0 or greater", err
 	case protoreflect.Int32Kind:
 		n, err := strconv.ParseInt(text, 10, 32)
 		return protoreflect.ValueOfInt32(int32(n)), "a whole number", err
@@ -198,14 +198,14 @@
 		n, err := strconv.ParseFloat(text, 64)
 		return protoreflect.ValueOfFloat64(n), "a number", err
 	case protoreflect.MessageKind:
-		t, err := time.ParseDuration(text)
-		return protoreflect.ValueOfMessage(durationpb.New(t).ProtoReflect()), "a duration with its unit", err
+		duration, err := time.ParseDuration(text)
+		return protoreflect.ValueOfMessage(durationpb.New(duration).ProtoReflect()), "a duration with its unit", err
 	default:
 		return protoreflect.Value{}, "a supported value", strconv.ErrSyntax
 	}
 }
 
-func exampleOf(f protoreflect.FieldDescriptor) string {
+func exampleHint(f protoreflect.FieldDescriptor) string {
 	switch f.Kind() {
 	case protoreflect.MessageKind:
 		return "write for example 500ms, 30s or 5m"
@@ -218,19 +218,20 @@
 	}
 }
 
-// knownKeys names the closest key first.
-func knownKeys(md protoreflect.MessageDescriptor, key string) string {
+// knownKeysHint lists the keys of a message, those with the longest common prefix with key
+// first.
+func knownKeysHint(md protoreflect.MessageDescriptor, key string) string {
 	names := make([]string, md.Fields().Len())
 	for i := range names {
 		names[i] = md.Fields().Get(i).JSONName()
 	}
 	slices.SortStableFunc(names, func(a, b string) int {
-		return sharedPrefix(b, key) - sharedPrefix(a, key)
+		return commonPrefixLength(b, key) - commonPrefixLength(a, key)
 	})
-	return "known here: " + strings.Join(names, ", ")
+	return "known keys: " + strings.Join(names, ", ")
 }
 
-func sharedPrefix(a, b string) int {
+func commonPrefixLength(a, b string) int {
 	n := 0
 	for n < len(a) && n < len(b) && a[n] == b[n] {
 		n++
@@ -245,14 +246,14 @@
 	return path + "." + key
 }
 
-func pathOr(path, other string) string {
+func pathOrDefault(path, fallback string) string {
 	if path == "" {
-		return other
+		return fallback
 	}
 	return path
 }
 
-func lineOf(node ast.Node) int {
+func lineNumber(node ast.Node) int {
 	if t := node.GetToken(); t != nil && t.Position != nil {
 		return t.Position.Line
 	}
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,4 +1,4 @@
-// Package settings reads settings and intents from YAML files into the messages
-// of the schema, and checks them. It reports every fault of a file at once, each
-// with its line and with what would be right.
+// Package settings decodes settings and intents from YAML files into the messages
+// of the schema and validates them. It reports all faults of a file at once, each
+// with its line and a remedy.
 package settings
--- a/internal/settings/fault.go
+++ b/internal/settings/fault.go
@@ -5,31 +5,31 @@
 	"strings"
 )
 
-// Fault is one thing wrong in a file.
+// Fault is an error at a line of a settings or intent file.
 type Fault struct {
-	file  string
-	line  int
-	key   string
-	wrong string
-	right string
+	file    string
+	line    int
+	key     string
+	problem string
+	remedy  string
 }
 
-// String returns FILE:LINE: KEY: what is wrong; what would be right.
+// String returns the fault as FILE:LINE: KEY: PROBLEM; REMEDY.
 func (f Fault) String() string {
-	s := fmt.Sprintf("%s:%d: %s: %s", f.file, f.line, f.key, f.wrong)
-	if f.right != "" {
-		s += "; " + f.right
+	s := fmt.Sprintf("%s:%d: %s: %s", f.file, f.line, f.key, f.problem)
+	if f.remedy != "" {
+		s += "; " + f.remedy
 	}
 	return s
 }
 
-// Line returns the line of the fault, counted from 1.
+// Line returns the line number of the fault, starting from 1.
 func (f Fault) Line() int { return f.line }
 
 // Key returns the path of the key, such as hosts[2].peer-address.
 func (f Fault) Key() string { return f.key }
 
-// Faults is the error that holds every fault of a file, in the order of lines.
+// Faults is an error that contains all faults of a file, ordered by line.
 type Faults []Fault
 
 // Error returns one line per fault.
--- a/internal/settings/join.go
+++ b/internal/settings/join.go
@@ -14,21 +14,22 @@
 	"fennelyard/internal/schema"
 )
 
-// Defaults of a host that joins through seeds.
+// Defaults of the keys that the settings file of a host with seeds does not set.
 const (
-	DefaultKeep          = 2 * time.Second
-	DefaultAnnounceEvery = 1200 * time.Millisecond
-	DefaultStopLimit     = 8 * time.Second
-	DefaultOrderLease    = 3 * time.Second
-	DefaultRepeatRatio   = 0.2
-	DefaultRepeatWindow  = 10 * time.Second
-	DefaultRepeatSlack   = 50
-	DefaultLoadWindow    = 5 * time.Second
+	DefaultJoinDirectoryKeep = 2 * time.Second
+	DefaultAnnounceEvery     = 1200 * time.Millisecond
+	DefaultStopLimit         = 8 * time.Second
+	DefaultOrderLease        = 3 * time.Second
+	DefaultRepeatRatio       = 0.2
+	DefaultRepeatWindow      = 10 * time.Second
+	DefaultRepeatSlack       = 50
+	DefaultLoadWindow        = 5 * time.Second
 )
 
 const maxPort = 65535
 
-// LoadJoin reads and checks the settings of a host that joins through seeds.
+// LoadJoin reads and validates the settings file of a host that joins through seeds, and
+// sets the defaults. If the file can be read but is invalid, the error is of type Faults.
 func LoadJoin(file string) (*schema.JoinSettings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -37,37 +38,37 @@
 	return ParseJoin(file, data)
 }
 
-// ParseJoin is LoadJoin for a file's content.
+// ParseJoin is like LoadJoin for the content of a file.
 func ParseJoin(file string, data []byte) (*schema.JoinSettings, error) {
 	s := &schema.JoinSettings{}
 	d := decode(file, data, s)
 	if len(d.faults) == 0 || len(d.lines) > 0 {
 		checkJoin(d, s)
 	}
-	if err := d.err(); err != nil {
+	if err := d.sortedFaults(); err != nil {
 		return nil, err
 	}
-	fillJoin(s)
+	setJoinDefaults(s)
 	return s, nil
 }
 
 func checkJoin(d *document, s *schema.JoinSettings) {
 	if s.GetHost() == "" {
-		d.fault("host", "missing", "give the host a name")
+		d.addKeyFault("host", "missing", "set the name of the host")
 	}
 	if _, err := netip.ParseAddr(s.GetIp()); err != nil {
-		d.fault("ip", "not an IP number", "write this host's own, for example 10.0.0.1")
+		d.addKeyFault("ip", "not an IP address", "write the IP address of this host, for example 10.0.0.1")
 	}
 	if listen := s.GetPeerListenIp(); listen != "" {
 		if _, err := netip.ParseAddr(listen); err != nil {
-			d.fault("peer-listen-ip", "not an IP number", "leave it out, or write one of this host's own")
+			d.addKeyFault("peer-listen-ip", "not an IP address", "remove the key or write an IP address of this host")
 		}
 	}
-	if p := s.GetPeerPort(); p == 0 || p > maxPort {
-		d.fault("peer-port", "not a port", "write the port that hosts use among themselves")
+	if port := s.GetPeerPort(); port == 0 || port > maxPort {
+		d.addKeyFault("peer-port", "not a port number", "write the port for connections between hosts")
 	}
 	if len(s.GetSeeds()) == 0 {
-		d.fault("seeds", "missing", "list the operator addresses of a few control hosts")
+		d.addKeyFault("seeds", "missing", "list the operator addresses of a few control hosts")
 	}
 	for i, a := range s.GetSeeds() {
 		checkAddress(d, "seeds["+strconv.Itoa(i)+"]", a, map[string]string{})
@@ -84,10 +85,10 @@
 		}
 	}
 	if s.GetCallerAddress() == "" && s.GetOperatorAddress() == "" {
-		d.fault("caller-address", "neither this nor operator-address is given", "give an entry the first, a control host the second")
+		d.addKeyFault("caller-address", "neither caller-address nor operator-address is set", "set caller-address on an entry, operator-address on a control host")
 	}
 	if s.GetOperatorAddress() != "" && !filepath.IsAbs(s.GetDataFolder()) {
-		d.fault("data-folder", "a control host needs a data folder", "write an absolute path on a disk")
+		d.addKeyFault("data-folder", "a control host requires a data folder", "set an absolute path on a disk")
 	}
 	checkDuration(d, "directory-keep", s.GetDirectoryKeep(), 100*time.Millisecond, time.Hour)
 	checkDuration(d, "announce-every", s.GetAnnounceEvery(), 10*time.Millisecond, time.Minute)
@@ -98,19 +99,19 @@
 	checkDuration(d, "key-revocation", s.GetKeyRevocation(), 0, time.Hour)
 	checkDuration(d, "quota-window", s.GetQuotaWindow(), time.Second, time.Hour)
 	if s.GetRepeatRatio() < 0 {
-		d.fault("repeat-ratio", "below 0", "write for example 0.2")
+		d.addKeyFault("repeat-ratio", "must not be negative", "write for example 0.2")
 	}
 }
 
-func fillJoin(s *schema.JoinSettings) {
+func setJoinDefaults(s *schema.JoinSettings) {
 	if s.GetPeerListenIp() == "" {
 		s.PeerListenIp = s.GetIp()
 	}
 	for _, x := range []struct {
-		into **durationpb.Duration
-		d    time.Duration
+		value    **durationpb.Duration
+		fallback time.Duration
 	}{
-		{&s.DirectoryKeep, DefaultKeep},
+		{&s.DirectoryKeep, DefaultJoinDirectoryKeep},
 		{&s.AnnounceEvery, DefaultAnnounceEvery},
 		{&s.StopLimit, DefaultStopLimit},
 		{&s.OrderLease, DefaultOrderLease},
@@ -118,24 +119,24 @@
 		{&s.LoadWindow, DefaultLoadWindow},
 		{&s.QuotaWindow, quota.DefaultWindow},
 	} {
-		*x.into = durationpb.New(durationOr(*x.into, x.d))
+		*x.value = durationpb.New(durationOrDefault(*x.value, x.fallback))
 	}
-	s.RepeatRatio = valueOr(s.GetRepeatRatio(), DefaultRepeatRatio)
-	s.RepeatSlack = valueOr(s.GetRepeatSlack(), DefaultRepeatSlack)
+	s.RepeatRatio = valueOrDefault(s.GetRepeatRatio(), DefaultRepeatRatio)
+	s.RepeatSlack = valueOrDefault(s.GetRepeatSlack(), DefaultRepeatSlack)
 }
 
-// PeerAddress returns the address at which the host at an IP number speaks with
-// the other hosts.
+// PeerAddress returns the IP:PORT for connections between hosts of the host with an IP
+// address.
 func PeerAddress(ip string, s *schema.JoinSettings) string {
 	return ip + ":" + strconv.Itoa(int(s.GetPeerPort()))
 }
 
-// SeedPeers returns the seeds' addresses for hosts among themselves.
+// SeedPeers returns the peer addresses of the seeds.
 func SeedPeers(s *schema.JoinSettings) []string {
-	var out []string
+	var peers []string
 	for _, a := range s.GetSeeds() {
-		// The settings were checked when they were read.
-		out = append(out, PeerAddress(netip.MustParseAddrPort(a).Addr().String(), s))
+		// ParseJoin has checked the addresses.
+		peers = append(peers, PeerAddress(netip.MustParseAddrPort(a).Addr().String(), s))
 	}
-	return out
+	return peers
 }
--- a/internal/settings/page.go
+++ b/internal/settings/page.go
@@ -14,11 +14,11 @@
 	commentLine = regexp.MustCompile(`^\s*// ?(.*)$`)
 )
 
-// Page returns docs/SETTINGS.md, made from the schema and its comments.
+// Page returns the text of docs/SETTINGS.md, generated from the schema and its comments.
 func Page() string {
 	var b strings.Builder
-	b.WriteString("# Settings and intents\n\nMade from the schema by `fennelyard page settings`; a test keeps it current.\n" +
-		"Keys are in kebab case. A duration has its unit, such as 500ms, 30s or 5m. Unknown keys are refused.\n")
+	b.WriteString("# Settings and intents\n\nGenerated from the schema by `fennelyard page settings`; a test checks that it is up to date.\n" +
+		"Keys are in kebab case. A duration has its unit, such as 500ms, 30s or 5m. Unknown keys are rejected.\n")
 	var comment []string
 	for _, line := range strings.Split(schema.SettingsSource, "\n") {
 		if m := commentLine.FindStringSubmatch(line); m != nil {
@@ -32,22 +32,22 @@
 			continue
 		}
 		if m := fieldLine.FindStringSubmatch(line); m != nil {
-			fmt.Fprintf(&b, "| `%s` | %s | %s |\n", m[3], kindWord(m[1] != "", m[2]), text)
+			fmt.Fprintf(&b, "| `%s` | %s | %s |\n", m[3], kindName(m[1] != "", m[2]), text)
 		}
 	}
 	return b.String()
 }
 
-func kindWord(list bool, kind string) string {
-	word := map[string]string{
+func kindName(list bool, kind string) string {
+	name := map[string]string{
 		"string": "string", "bool": "true or false", "uint32": "whole number", "uint64": "whole number",
 		"int32": "whole number", "double": "number", "google.protobuf.Duration": "duration",
 	}[kind]
-	if word == "" {
-		word = kind
+	if name == "" {
+		name = kind
 	}
 	if list {
-		return "list of " + word
+		return "list of " + name
 	}
-	return word
+	return name
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -13,34 +13,34 @@
 	"fennelyard/internal/schema"
 )
 
-// The defaults of settings that are left out.
+// Defaults of the keys that a settings file does not set.
 const (
-	DefaultHeartbeat       = 100 * time.Millisecond
-	DefaultElectionTimeout = 500 * time.Millisecond
-	DefaultSnapshotAfter   = 10000
-	DefaultDirectoryKeep   = 5 * time.Second
-	DefaultDeadline        = 30 * time.Second
-	DefaultMaxBodyBytes    = 1 << 20
-	DefaultQueueLimit      = 512
-	DefaultReplicaLimit    = 16
-	DefaultDrainLimit      = 60 * time.Second
-	DefaultLoadsPerSecond  = 3
-	DefaultFullSpeedLoads  = 4
-	DefaultRemoteRate      = 1024
-	DefaultDiskRate        = 4096
-	DefaultMemoryRate      = 16384
-	DefaultWeight          = 1
+	DefaultHeartbeat          = 100 * time.Millisecond
+	DefaultElectionTimeout    = 500 * time.Millisecond
+	DefaultSnapshotAfter      = 10000
+	DefaultDirectoryKeep      = 5 * time.Second
+	DefaultDeadline           = 30 * time.Second
+	DefaultMaxBodyBytes       = 1 << 20
+	DefaultQueueLimit         = 512
+	DefaultReplicaLimit       = 16
+	DefaultDrainLimit         = 60 * time.Second
+	DefaultLoadsPerSecond     = 3
+	DefaultFullSpeedLoads     = 4
+	DefaultRemoteMiBPerSecond = 1024
+	DefaultDiskMiBPerSecond   = 4096
+	DefaultMemoryMiBPerSecond = 16384
+	DefaultPolicyWeight       = 1
 
 	maxDeadline = 10 * time.Minute
-	// An election timeout of fewer heartbeats would take one lost heartbeat for
-	// a dead leader.
+	// With an election timeout of fewer heartbeats, a single lost heartbeat would count as
+	// a failed leader.
 	minHeartbeatsPerElection = 4
 	exporterOff              = "off"
 	exporterLog              = "log"
 )
 
-// Load reads and checks a settings file and fills in the defaults. The error
-// is Faults when the file could be read.
+// Load reads and validates a settings file and sets the defaults. If the file can be
+// read but is invalid, the error is of type Faults.
 func Load(file string) (*schema.Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -49,21 +49,22 @@
 	return Parse(file, data)
 }
 
-// Parse is Load for a file's content.
+// Parse is like Load for the content of a file.
 func Parse(file string, data []byte) (*schema.Settings, error) {
 	s := &schema.Settings{}
 	d := decode(file, data, s)
 	if len(d.faults) == 0 || len(d.lines) > 0 {
-		check(d, s)
+		checkSettings(d, s)
 	}
-	if err := d.err(); err != nil {
+	if err := d.sortedFaults(); err != nil {
 		return nil, err
 	}
-	fillDefaults(s)
+	setDefaults(s)
 	return s, nil
 }
 
-// LoadIntent reads an intent file.
+// LoadIntent reads an intent file. If the file can be read but is invalid, the error is
+// of type Faults.
 func LoadIntent(file string) (*schema.Intent, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -72,18 +73,19 @@
 	return ParseIntent(file, data)
 }
 
-// ParseIntent is LoadIntent for a file's content. What an intent asks for is
-// checked by the control group, against its state.
+// ParseIntent is like LoadIntent for the content of a file. It checks the format only:
+// the control group validates the intent against its state.
 func ParseIntent(file string, data []byte) (*schema.Intent, error) {
-	in := &schema.Intent{}
-	d := decode(file, data, in)
-	if err := d.err(); err != nil {
+	intent := &schema.Intent{}
+	d := decode(file, data, intent)
+	if err := d.sortedFaults(); err != nil {
 		return nil, err
 	}
-	return in, nil
+	return intent, nil
 }
 
-// Self returns the settings of the file's own host.
+// Self returns the settings of the host that the file belongs to, or nil if it is not
+// listed.
 func Self(s *schema.Settings) *schema.HostSettings {
 	for _, h := range s.GetHosts() {
 		if h.GetName() == s.GetHost() {
@@ -93,27 +95,27 @@
 	return nil
 }
 
-func check(d *document, s *schema.Settings) {
+func checkSettings(d *document, s *schema.Settings) {
 	if s.GetDeployment() == "" {
-		d.fault("deployment", "missing", "give the deployment a name")
+		d.addKeyFault("deployment", "missing", "set the name of the deployment")
 	}
 	checkHosts(d, s)
 	checkControl(d, s)
 	checkEntry(d, s)
-	checkWeightStore(d, s)
+	checkPlacement(d, s)
 	if a := s.GetMetricsAddress(); a != "" {
 		checkAddress(d, "metrics-address", a, map[string]string{})
 	}
 	switch s.GetTrace().GetExporter() {
 	case "", exporterOff, exporterLog:
 	default:
-		d.fault("trace.exporter", "unknown exporter", "write off or log")
+		d.addKeyFault("trace.exporter", "unknown exporter", "set off or log")
 	}
 }
 
 func checkHosts(d *document, s *schema.Settings) {
 	if len(s.GetHosts()) == 0 {
-		d.fault("hosts", "missing", "list every host of the deployment")
+		d.addKeyFault("hosts", "missing", "list every host of the deployment")
 		return
 	}
 	names := map[string]bool{}
@@ -122,13 +124,13 @@
 		path := fmt.Sprintf("hosts[%d]", i)
 		switch {
 		case h.GetName() == "":
-			d.fault(path+".name", "missing", "give the host a name")
+			d.addKeyFault(path+".name", "missing", "set the name of the host")
 		case names[h.GetName()]:
-			d.fault(path+".name", fmt.Sprintf("%q is used twice", h.GetName()), "give each host its own name")
+			d.addKeyFault(path+".name", fmt.Sprintf("%q is the name of another host", h.GetName()), "set a unique name for each host")
 		}
 		names[h.GetName()] = true
 		if h.GetDataCentre() == "" {
-			d.fault(path+".data-centre", "missing", "name the data centre that the host stands in")
+			d.addKeyFault(path+".data-centre", "missing", "set the data centre of the host")
 		}
 		checkAddress(d, path+".peer-address", h.GetPeerAddress(), addresses)
 		checkAddress(d, path+".caller-address", h.GetCallerAddress(), addresses)
@@ -136,25 +138,26 @@
 		checkAddress(d, path+".backend-address", h.GetBackendAddress(), addresses)
 	}
 	if !names[s.GetHost()] {
-		d.fault("host", fmt.Sprintf("%q is not under hosts", s.GetHost()), "name one of the hosts")
+		d.addKeyFault("host", fmt.Sprintf("%q is not listed under hosts", s.GetHost()), "set the name of one of the hosts")
 	}
 }
 
-// checkAddress wants an IP number: a host must be reachable when no name
-// service is.
+// checkAddress checks that an address is an IP address with a port, which no key in seen
+// has, and adds it to seen. Host names are rejected: a host must be reachable while name
+// resolution fails.
 func checkAddress(d *document, path, address string, seen map[string]string) {
 	if address == "" {
-		d.fault(path, "missing", "write IP:PORT, for example 10.0.0.1:7000")
+		d.addKeyFault(path, "missing", "write IP:PORT, for example 10.0.0.1:7000")
 		return
 	}
 	a, err := netip.ParseAddrPort(address)
 	switch {
 	case err != nil:
-		d.fault(path, fmt.Sprintf("%q is not IP:PORT", address), "write an IP number and a port, for example 10.0.0.1:7000")
+		d.addKeyFault(path, fmt.Sprintf("%q is not IP:PORT", address), "write an IP address and a port, for example 10.0.0.1:7000")
 	case a.Port() == 0 || a.Addr().IsUnspecified():
-		d.fault(path, fmt.Sprintf("%q cannot be reached by others", address), "write the address that others connect to")
+		d.addKeyFault(path, fmt.Sprintf("%q cannot be reached from other hosts", address), "write the address that callers or other hosts connect to")
 	case seen[a.String()] != "":
-		d.fault(path, fmt.Sprintf("%q is also %s", address, seen[a.String()]), "give each listener its own address")
+		d.addKeyFault(path, fmt.Sprintf("%q is already used by %s", address, seen[a.String()]), "set a different address for each listener")
 	default:
 		seen[a.String()] = path
 	}
@@ -168,20 +171,20 @@
 		}
 	}
 	if len(s.GetHosts()) > 0 && members%2 == 0 {
-		d.fault("hosts", fmt.Sprintf("%d control members", members), "mark 3 or 5 hosts with control: true (1 for a trial)")
+		d.addKeyFault("hosts", fmt.Sprintf("even number of control members: %d", members), "set control: true on 3 or 5 hosts (1 for a trial)")
 	}
 	c := s.GetControl()
 	if self := Self(s); self.GetControl() && !filepath.IsAbs(c.GetDataFolder()) {
-		d.fault("control.data-folder", "a control member needs a data folder", "write an absolute path on a disk")
+		d.addKeyFault("control.data-folder", "a control member requires a data folder", "set an absolute path on a disk")
 	}
-	heartbeat := durationOr(c.GetHeartbeat(), DefaultHeartbeat)
-	election := durationOr(c.GetElectionTimeout(), DefaultElectionTimeout)
+	heartbeat := durationOrDefault(c.GetHeartbeat(), DefaultHeartbeat)
+	election := durationOrDefault(c.GetElectionTimeout(), DefaultElectionTimeout)
 	if heartbeat < time.Millisecond {
-		d.fault("control.heartbeat", "too short", "write at least 1ms")
+		d.addKeyFault("control.heartbeat", "too short", "set at least 1ms")
 	}
 	if election < minHeartbeatsPerElection*heartbeat {
-		d.fault("control.election-timeout", "too short for the heartbeat",
-			fmt.Sprintf("write at least %v", minHeartbeatsPerElection*heartbeat))
+		d.addKeyFault("control.election-timeout", "too short for the heartbeat",
+			fmt.Sprintf("set at least %v", minHeartbeatsPerElection*heartbeat))
 	}
 }
 
@@ -192,77 +195,77 @@
 	checkDuration(d, "entry.drain-limit", e.GetDrainLimit(), 0, time.Hour)
 }
 
-func checkDuration(d *document, path string, v *durationpb.Duration, low, high time.Duration) {
+func checkDuration(d *document, path string, v *durationpb.Duration, minimum, maximum time.Duration) {
 	if v == nil {
 		return
 	}
-	if t := v.AsDuration(); t < low || t > high {
-		d.fault(path, fmt.Sprintf("%v is out of range", t), fmt.Sprintf("write %v to %v", low, high))
+	if t := v.AsDuration(); t < minimum || t > maximum {
+		d.addKeyFault(path, fmt.Sprintf("%v is out of range", t), fmt.Sprintf("set a value from %v to %v", minimum, maximum))
 	}
 }
 
-func checkWeightStore(d *document, s *schema.Settings) {
+func checkPlacement(d *document, s *schema.Settings) {
 	if s.GetWeightStore().GetLoadsPerSecond() < 0 {
-		d.fault("weight-store.loads-per-second", "below 0", "write for example 3")
+		d.addKeyFault("weight-store.loads-per-second", "must not be negative", "write for example 3")
 	}
 	if s.GetPolicy().GetColdSecondWeight() < 0 {
-		d.fault("policy.cold-second-weight", "below 0", "write for example 1")
+		d.addKeyFault("policy.cold-second-weight", "must not be negative", "write for example 1")
 	}
 	if s.GetPolicy().GetIdleHourWeight() < 0 {
-		d.fault("policy.idle-hour-weight", "below 0", "write for example 1")
+		d.addKeyFault("policy.idle-hour-weight", "must not be negative", "write for example 1")
 	}
 }
 
-func fillDefaults(s *schema.Settings) {
+func setDefaults(s *schema.Settings) {
 	if s.GetControl() == nil {
 		s.Control = &schema.ControlSettings{}
 	}
 	c := s.GetControl()
-	c.Heartbeat = durationpb.New(durationOr(c.GetHeartbeat(), DefaultHeartbeat))
-	c.ElectionTimeout = durationpb.New(durationOr(c.GetElectionTimeout(), DefaultElectionTimeout))
-	c.SnapshotAfter = valueOr(c.GetSnapshotAfter(), DefaultSnapshotAfter)
+	c.Heartbeat = durationpb.New(durationOrDefault(c.GetHeartbeat(), DefaultHeartbeat))
+	c.ElectionTimeout = durationpb.New(durationOrDefault(c.GetElectionTimeout(), DefaultElectionTimeout))
+	c.SnapshotAfter = valueOrDefault(c.GetSnapshotAfter(), DefaultSnapshotAfter)
 	if s.GetEntry() == nil {
 		s.Entry = &schema.EntrySettings{}
 	}
 	e := s.GetEntry()
-	e.DirectoryKeep = durationpb.New(durationOr(e.GetDirectoryKeep(), DefaultDirectoryKeep))
-	e.DefaultDeadline = durationpb.New(durationOr(e.GetDefaultDeadline(), DefaultDeadline))
-	e.DrainLimit = durationpb.New(durationOr(e.GetDrainLimit(), DefaultDrainLimit))
-	e.MaxBodyBytes = valueOr(e.GetMaxBodyBytes(), DefaultMaxBodyBytes)
-	e.QueueLimit = valueOr(e.GetQueueLimit(), DefaultQueueLimit)
-	e.ReplicaLimit = valueOr(e.GetReplicaLimit(), DefaultReplicaLimit)
-	fillPlacementDefaults(s)
+	e.DirectoryKeep = durationpb.New(durationOrDefault(e.GetDirectoryKeep(), DefaultDirectoryKeep))
+	e.DefaultDeadline = durationpb.New(durationOrDefault(e.GetDefaultDeadline(), DefaultDeadline))
+	e.DrainLimit = durationpb.New(durationOrDefault(e.GetDrainLimit(), DefaultDrainLimit))
+	e.MaxBodyBytes = valueOrDefault(e.GetMaxBodyBytes(), DefaultMaxBodyBytes)
+	e.QueueLimit = valueOrDefault(e.GetQueueLimit(), DefaultQueueLimit)
+	e.ReplicaLimit = valueOrDefault(e.GetReplicaLimit(), DefaultReplicaLimit)
+	setPlacementDefaults(s)
 }
 
-func fillPlacementDefaults(s *schema.Settings) {
+func setPlacementDefaults(s *schema.Settings) {
 	if s.GetWeightStore() == nil {
 		s.WeightStore = &schema.WeightStoreSettings{}
 	}
 	w := s.GetWeightStore()
-	w.LoadsPerSecond = valueOr(w.GetLoadsPerSecond(), DefaultLoadsPerSecond)
-	w.FullSpeedLoads = valueOr(w.GetFullSpeedLoads(), DefaultFullSpeedLoads)
-	w.RemoteMibPerSecond = valueOr(w.GetRemoteMibPerSecond(), DefaultRemoteRate)
-	w.DiskMibPerSecond = valueOr(w.GetDiskMibPerSecond(), DefaultDiskRate)
-	w.MemoryMibPerSecond = valueOr(w.GetMemoryMibPerSecond(), DefaultMemoryRate)
+	w.LoadsPerSecond = valueOrDefault(w.GetLoadsPerSecond(), DefaultLoadsPerSecond)
+	w.FullSpeedLoads = valueOrDefault(w.GetFullSpeedLoads(), DefaultFullSpeedLoads)
+	w.RemoteMibPerSecond = valueOrDefault(w.GetRemoteMibPerSecond(), DefaultRemoteMiBPerSecond)
+	w.DiskMibPerSecond = valueOrDefault(w.GetDiskMibPerSecond(), DefaultDiskMiBPerSecond)
+	w.MemoryMibPerSecond = valueOrDefault(w.GetMemoryMibPerSecond(), DefaultMemoryMiBPerSecond)
 	if s.GetPolicy() == nil {
 		s.Policy = &schema.PolicySettings{}
 	}
 	p := s.GetPolicy()
-	p.ColdSecondWeight = valueOr(p.GetColdSecondWeight(), DefaultWeight)
-	p.IdleHourWeight = valueOr(p.GetIdleHourWeight(), DefaultWeight)
+	p.ColdSecondWeight = valueOrDefault(p.GetColdSecondWeight(), DefaultPolicyWeight)
+	p.IdleHourWeight = valueOrDefault(p.GetIdleHourWeight(), DefaultPolicyWeight)
 }
 
-func durationOr(v *durationpb.Duration, d time.Duration) time.Duration {
+func durationOrDefault(v *durationpb.Duration, fallback time.Duration) time.Duration {
 	if v == nil {
-		return d
+		return fallback
 	}
 	return v.AsDuration()
 }
 
-func valueOr[T comparable](v, d T) T {
+func valueOrDefault[T comparable](v, fallback T) T {
 	var zero T
 	if v == zero {
-		return d
+		return fallback
 	}
 	return v
 }
