--- a/client.go
+++ b/client.go
@@ -15,33 +15,34 @@
 )
 
 const (
-	defaultDeadline = 30 * time.Second
-	connectTimeout  = 2 * time.Second
-	maxAnswerBytes  = 16 << 20
-	// maxAttempts bounds how many addresses one request is sent to.
-	maxAttempts = 4
-	minPause    = 50 * time.Millisecond
-	maxPause    = 5 * time.Second
+	defaultDeadline  = 30 * time.Second
+	connectTimeout   = 2 * time.Second
+	maxResponseBytes = 16 << 20
+	// maxAttempts limits the attempts of one request, except while the deployment
+	// reports that it is still running.
+	maxAttempts   = 4
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
 )
 
 // ClientOptions configures a Client. Addresses and Customer are required.
 type ClientOptions struct {
-	// Addresses are some caller addresses (IP:PORT) of the deployment, to ask
-	// for the directory first.
+	// Addresses are caller addresses (IP:PORT) of some entries of the deployment,
+	// from which the client fetches the directory first.
 	Addresses []string
 	// Customer is the customer that the caller belongs to.
 	Customer string
-	// DataCentre is where the caller is; the directory then prefers entries
-	// there. Empty means that of the entry that is asked.
+	// DataCentre is the caller's data centre, whose entries the directory lists
+	// first. Empty means the data centre of the entry that serves the directory.
 	DataCentre string
 	// Deadline is used for requests whose context has none; 0 means 30 seconds.
 	Deadline time.Duration
-	// HTTP sends the requests; nil means a client of its own.
+	// HTTP sends the requests; nil means a new http.Client.
 	HTTP *http.Client
-	// Now returns the time; nil means time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
-	// Tracer starts a span for each request, whose context travels with it; nil
-	// means none.
+	// Tracer starts a span for each request, whose context is propagated in the
+	// request header; nil disables tracing.
 	Tracer trace.Tracer
 }
 
@@ -51,12 +52,12 @@
 	opts ClientOptions
 
 	mu sync.Mutex
-	// addresses is the directory's answer, kept until until; guarded by mu.
+	// addresses is the cached directory, valid until expiry; both are guarded by mu.
 	addresses []string
-	until     time.Time
+	expiry    time.Time
 }
 
-// NewClient returns a client. It does not connect before the first request.
+// NewClient returns a client that connects at its first request.
 func NewClient(opts ClientOptions) *Client {
 	if opts.Deadline == 0 {
 		opts.Deadline = defaultDeadline
@@ -73,7 +74,7 @@
 	return &Client{opts: opts}
 }
 
-// Answer is a whole answer.
+// Answer is a complete HTTP response of a model or service.
 type Answer struct {
 	status   int
 	body     []byte
@@ -84,22 +85,22 @@
 // Status returns the HTTP status.
 func (a *Answer) Status() int { return a.status }
 
-// Body returns the whole body. It must not be changed.
+// Body returns the whole body, which must not be modified.
 func (a *Answer) Body() []byte { return a.body }
 
-// Replayed reports whether the answer was kept from an earlier arrival of the
-// request's key.
+// Replayed reports whether the deployment returned the stored response of an
+// earlier request with the same key.
 func (a *Answer) Replayed() bool { return a.replayed }
 
-// Header returns the answer's header. It must not be changed.
+// Header returns the response header, which must not be modified.
 func (a *Answer) Header() http.Header { return a.header }
 
-// NewKey returns a random request key.
+// NewKey returns a random idempotency key.
 func NewKey() string { return rand.Text() }
 
-// Complete sends an OpenAI-style chat completion and returns its whole answer.
-// The body is a JSON object with a "model". Errors are of type *Error when the
-// deployment refused.
+// Complete sends an OpenAI-style chat completion and returns the whole response.
+// The body is a JSON object with a "model" field. The error is a *Error when the
+// deployment refused the request.
 func (c *Client) Complete(ctx context.Context, body []byte) (*Answer, error) {
 	return c.Do(ctx, Request{Method: http.MethodPost, Path: "/v1/chat/completions", Body: body, Repeatable: true})
 }
@@ -111,18 +112,18 @@
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Repeatable allows the client to send the request again when its outcome
-	// is not known.
+	// Repeatable allows the client to retry the request when the outcome of an
+	// attempt is unknown.
 	Repeatable bool
-	// Key names a request that must not run twice; empty means a new random key
-	// when Repeatable is false.
+	// Key is the idempotency key of a request that must not run twice. If it is
+	// empty and Repeatable is false, the client generates one.
 	Key string
 }
 
-// Do sends a request and returns its whole answer. A request that is not
-// repeatable is sent again only with its key, so that it runs at most once. Do
-// returns a *Error when the deployment refused and the refusal is final for the
-// time that the context leaves.
+// Do sends a request and returns the whole response. A request that is not
+// repeatable is retried only with its key, so that it runs at most once. Do
+// returns a *Error when the deployment refused the request and no retry can
+// succeed before the context's deadline.
 func (c *Client) Do(ctx context.Context, r Request) (*Answer, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
@@ -134,85 +135,87 @@
 	if !r.Repeatable && r.Key == "" {
 		r.Key = NewKey()
 	}
-	var last error
+	var lastErr error
 	for attempt := 1; ; attempt++ {
-		address, err := c.pick(ctx, attempt-1)
+		address, err := c.selectAddress(ctx, attempt-1)
 		if err != nil {
-			return nil, joinLast(err, last)
+			return nil, preferLast(err, lastErr)
 		}
 		answer, err := c.send(ctx, address, r, attempt)
 		if err == nil {
 			return answer, nil
 		}
-		last = err
-		wait, again := c.again(ctx, r, err, attempt)
-		if !again {
+		lastErr = err
+		delay, retry := c.retryDelay(ctx, r, err, attempt)
+		if !retry {
 			return nil, err
 		}
-		if !sleep(ctx, wait) {
-			return nil, last
+		if !sleep(ctx, delay) {
+			return nil, lastErr
 		}
 	}
 }
 
-func joinLast(err, last error) error {
-	if last != nil {
-		return last
+// preferLast returns the error of the last attempt, or err if there was none.
+func preferLast(err, lastErr error) error {
+	if lastErr != nil {
+		return lastErr
 	}
 	return err
 }
 
-// again decides whether and when a request is sent once more.
-func (c *Client) again(ctx context.Context, r Request, err error, attempt int) (time.Duration, bool) {
+// retryDelay returns the delay before the next attempt, and whether there is one.
+func (c *Client) retryDelay(ctx context.Context, r Request, err error, attempt int) (time.Duration, bool) {
 	if ctx.Err() != nil {
 		return 0, false
 	}
-	var refused *Error
-	if !errors.As(err, &refused) {
-		// The connection failed: whether it ran is not known, and a key or its
-		// being repeatable makes it safe to ask again.
-		c.forget()
-		return minPause, attempt < maxAttempts
+	var refusal *Error
+	if !errors.As(err, &refusal) {
+		// The connection failed and the outcome is unknown. The retry is safe,
+		// because the request is repeatable or carries a key.
+		c.invalidateDirectory()
+		return minRetryDelay, attempt < maxAttempts
 	}
 	deadline, _ := ctx.Deadline()
-	wait := max(refused.retryAfter, minPause)
-	if wait > time.Until(deadline) {
+	delay := max(refusal.retryAfter, minRetryDelay)
+	if delay > time.Until(deadline) {
 		return 0, false
 	}
-	switch refused.code {
+	switch refusal.code {
 	case "still-running":
-		return min(wait, maxPause), true
+		return min(delay, maxRetryDelay), true
 	case "stopping", "not-ready", "no-leader":
-		c.forget()
-		return min(wait, maxPause), attempt < maxAttempts
+		c.invalidateDirectory()
+		return min(delay, maxRetryDelay), attempt < maxAttempts
 	case "backend-failed", "stream-cut":
-		return wait, r.Repeatable && attempt < maxAttempts
+		return delay, r.Repeatable && attempt < maxAttempts
 	}
 	return 0, false
 }
 
+// send makes one attempt of a request at an address.
 func (c *Client) send(ctx context.Context, address string, r Request, attempt int) (*Answer, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	defer c.watchEntry(ctx, cancel, address)()
-	q, err := c.request(ctx, address, r, attempt)
+	req, err := c.newRequest(ctx, address, r, attempt)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := c.opts.HTTP.Do(q)
+	resp, err := c.opts.HTTP.Do(req)
 	if err != nil {
-		if cause := context.Cause(ctx); errors.Is(cause, errSilent) {
+		if cause := context.Cause(ctx); errors.Is(cause, errEntrySilent) {
 			err = cause
 		}
-		return nil, errors.Newf("send to %s: %w", address, err)
+		return nil, errors.Newf("send request to %s: %w", address, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return nil, errors.Newf("read answer of %s: %w", address, err)
+		return nil, errors.Newf("read response of %s: %w", address, err)
 	}
-	if refused := refusalOf(resp, body); refused != nil {
-		return nil, refused
+	if refusal := parseError(resp, body); refusal != nil {
+		return nil, refusal
 	}
 	return &Answer{
 		status: resp.StatusCode, body: body, header: resp.Header,
@@ -220,6 +223,7 @@
 	}, nil
 }
 
+// sleep waits for d and reports whether it passed before ctx was done.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -231,6 +235,8 @@
 	}
 }
 
+// deadlineMs returns the milliseconds left until the deadline of ctx, at least 1, or
+// an empty string if ctx has no deadline.
 func deadlineMs(ctx context.Context) string {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/directory.go
+++ b/directory.go
@@ -13,47 +13,49 @@
 
 const (
 	maxDirectoryBytes = 64 << 10
-	// askWait is how long one address may take: a frozen one must not use up
-	// the time of those that answer.
-	askWait = 2 * time.Second
+	// directoryTimeout limits the query of one address, so that an unresponsive
+	// entry leaves time for the others.
+	directoryTimeout = 2 * time.Second
 )
 
-// Entries returns the addresses that the deployment tells this caller to use,
-// the best first. It asks only when the kept answer has run out. It fails when
-// no known address answers.
+// Entries returns the addresses of the entries that the deployment assigns to
+// this caller, in order of preference. It queries the directory only when the
+// cached one has expired, and fails when all known addresses fail.
 func (c *Client) Entries(ctx context.Context) ([]string, error) {
 	c.mu.Lock()
-	kept, until := c.addresses, c.until
+	cached, expiry := c.addresses, c.expiry
 	c.mu.Unlock()
-	if len(kept) > 0 && c.opts.Now().Before(until) {
-		return kept, nil
+	if len(cached) > 0 && c.opts.Now().Before(expiry) {
+		return cached, nil
 	}
-	var last error
-	for _, address := range append(append([]string(nil), kept...), c.opts.Addresses...) {
-		addresses, keep, err := c.ask(ctx, address)
+	var lastErr error
+	for _, address := range append(append([]string(nil), cached...), c.opts.Addresses...) {
+		addresses, ttl, err := c.fetchDirectory(ctx, address)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		c.mu.Lock()
-		c.addresses, c.until = addresses, c.opts.Now().Add(keep)
+		c.addresses, c.expiry = addresses, c.opts.Now().Add(ttl)
 		c.mu.Unlock()
 		return addresses, nil
 	}
-	return nil, errors.Newf("no address answers: %w", last)
+	return nil, errors.Newf("fetch directory: all known addresses failed: %w", lastErr)
 }
 
-func (c *Client) ask(ctx context.Context, address string) ([]string, time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+// fetchDirectory queries the entry at an address for the directory and returns the
+// addresses in it and how long they may be cached.
+func (c *Client) fetchDirectory(ctx context.Context, address string) ([]string, time.Duration, error) {
+	ctx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
 	u := "http://" + address + "/v1/directory?data-centre=" + url.QueryEscape(c.opts.DataCentre)
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
 	if err != nil {
-		return nil, 0, errors.Newf("make directory request: %w", err)
+		return nil, 0, errors.Newf("create directory request: %w", err)
 	}
-	resp, err := c.opts.HTTP.Do(q)
+	resp, err := c.opts.HTTP.Do(req)
 	if err != nil {
-		return nil, 0, errors.Newf("ask %s: %w", address, err)
+		return nil, 0, errors.Newf("query directory of %s: %w", address, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxDirectoryBytes))
@@ -65,13 +67,14 @@
 		KeepMs    int64    `json:"keep-ms"`
 	}
 	if err := json.Unmarshal(body, &reply); err != nil || len(reply.Addresses) == 0 {
-		return nil, 0, errors.Newf("%s gave no directory (status %d)", address, resp.StatusCode)
+		return nil, 0, errors.Newf("no valid directory in response of %s (status %d)", address, resp.StatusCode)
 	}
 	return reply.Addresses, time.Duration(reply.KeepMs) * time.Millisecond, nil
 }
 
-// pick returns the address for an attempt, another one for each.
-func (c *Client) pick(ctx context.Context, attempt int) (string, error) {
+// selectAddress returns the address for an attempt. Successive attempts use
+// successive addresses of the directory.
+func (c *Client) selectAddress(ctx context.Context, attempt int) (string, error) {
 	addresses, err := c.Entries(ctx)
 	if err != nil {
 		return "", err
@@ -79,9 +82,9 @@
 	return addresses[attempt%len(addresses)], nil
 }
 
-// forget makes the next request ask the directory again.
-func (c *Client) forget() {
+// invalidateDirectory makes the next request fetch the directory again.
+func (c *Client) invalidateDirectory() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = time.Time{}
+	c.expiry = time.Time{}
 }
--- a/error.go
+++ b/error.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Error is a final answer of the deployment that is not the answer of a model or
-// service.
+// Error is a refusal or failure that the deployment itself returns, rather than
+// the response of a model or service.
 type Error struct {
 	code       string
 	message    string
@@ -18,30 +18,31 @@
 	retryAfter time.Duration
 }
 
-// Code returns the stable code, such as too-late.
+// Code returns the stable error code, such as too-late.
 func (e *Error) Code() string { return e.code }
 
-// Outcome returns not-run, ran or unknown. It says not-run only when that is
-// proved.
+// Outcome returns not-run, ran or unknown. It is not-run only when it is proved
+// that the request did not run.
 func (e *Error) Outcome() string { return e.outcome }
 
-// RequestID names the request in the deployment's logs and traces.
+// RequestID returns the ID of the request in the deployment's logs and traces.
 func (e *Error) RequestID() string { return e.requestID }
 
 // Status returns the HTTP status.
 func (e *Error) Status() int { return e.status }
 
-// RetryAfter returns when to come back, or 0 when that does not help.
+// RetryAfter returns the delay after which to retry, or 0 when a retry cannot
+// succeed.
 func (e *Error) RetryAfter() time.Duration { return e.retryAfter }
 
-// Error returns code, outcome and message.
+// Error returns the code, the outcome and the message.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s (%s): %s", e.code, e.outcome, e.message)
 }
 
-// refusalOf returns nil for an answer of a model or service, which may have any
-// status itself.
-func refusalOf(resp *http.Response, body []byte) *Error {
+// parseError returns the error in a response of the deployment itself, or nil for
+// a response of a model or service, which may have any status too.
+func parseError(resp *http.Response, body []byte) *Error {
 	if resp.StatusCode < http.StatusBadRequest {
 		return nil
 	}
--- a/examples/caller/main.go
+++ b/examples/caller/main.go
@@ -1,4 +1,4 @@
-// Command caller asks a deployment for a completion and makes a booking.
+// Command caller requests a completion from a deployment and makes a booking.
 //
 //	go run ./examples/caller 127.0.0.1:7001
 package main
@@ -33,7 +33,7 @@
 		return fmt.Errorf("complete: %w", err)
 	}
 	fmt.Printf("%s\n", answer.Body())
-	// The key makes it safe to send the booking again.
+	// The key makes a retry of the booking safe.
 	booked, err := client.Do(ctx, fennelyard.Request{
 		Method: http.MethodPost, Path: "/services/booking-api/book", Body: []byte(`{"rider":7}`), Key: fennelyard.NewKey(),
 	})
--- a/probe.go
+++ b/probe.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// probeEvery is the time between two signs of life that the client asks of
-	// an entry which works on its request, probeWait the time for each.
-	probeEvery = 2 * time.Second
-	probeWait  = 2 * time.Second
-	// maxSilent is how many signs in a row may be missing.
-	maxSilent = 2
+	// probeInterval is the time between probes of an entry that processes a
+	// request.
+	probeInterval = 2 * time.Second
+	probeTimeout  = 2 * time.Second
+	// maxFailedProbes is the number of consecutive failed probes after which the
+	// entry is considered silent.
+	maxFailedProbes = 2
 )
 
-var errSilent = errors.New("the entry went silent")
+var errEntrySilent = errors.New("entry stopped responding to probes")
 
-// watchEntry cancels a request whose entry no longer gives a sign of life, and
-// returns a function that ends the watch. A cold answer may take long, so that
-// the request's own connection tells nothing: an entry that is frozen, or a
-// connection that something in between has forgotten, looks like one that
-// waits for a load. Each sign is asked for on a connection of its own.
+// watchEntry probes an entry and cancels the request there when the entry no
+// longer responds; stop ends the probes. A cold start may take long, so that
+// silence on the request's own connection proves nothing: a frozen entry, or a
+// connection whose state was lost by a device on the path, looks like a request
+// that waits for a load. Each probe uses a new connection.
 func (c *Client) watchEntry(ctx context.Context, cancel context.CancelCauseFunc, address string) (stop func()) {
 	done := make(chan struct{})
 	go func() {
-		ticker := time.NewTicker(probeEvery)
+		ticker := time.NewTicker(probeInterval)
 		defer ticker.Stop()
-		for silent := 0; silent < maxSilent; {
+		for failed := 0; failed < maxFailedProbes; {
 			select {
 			case <-done:
 				return
@@ -39,25 +40,26 @@
 			case <-ticker.C:
 			}
 			if c.probe(ctx, address) {
-				silent = 0
+				failed = 0
 				continue
 			}
-			silent++
+			failed++
 		}
-		cancel(errSilent)
+		cancel(errEntrySilent)
 	}()
 	return func() { close(done) }
 }
 
+// probe reports whether an entry responds on a new connection.
 func (c *Client) probe(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, probeWait)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/directory", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/directory", nil)
 	if err != nil {
 		return false
 	}
-	fresh := &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: connectTimeout}).DialContext}
-	resp, err := (&http.Client{Transport: fresh}).Do(q)
+	transport := &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: connectTimeout}).DialContext}
+	resp, err := (&http.Client{Transport: transport}).Do(req)
 	if err != nil {
 		return false
 	}
--- a/request.go
+++ b/request.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	headerCustomer = "Fennelyard-Customer"
-	headerDeadline = "Fennelyard-Deadline-Ms"
-	headerKey      = "Idempotency-Key"
-	headerAttempt  = "Fennelyard-Attempt"
-	headerReplayed = "Fennelyard-Replayed"
-	headerNo       = "Fennelyard-Repeatable"
+	headerCustomer   = "Fennelyard-Customer"
+	headerDeadline   = "Fennelyard-Deadline-Ms"
+	headerKey        = "Idempotency-Key"
+	headerAttempt    = "Fennelyard-Attempt"
+	headerReplayed   = "Fennelyard-Replayed"
+	headerRepeatable = "Fennelyard-Repeatable"
 
 	idleTimeout       = 10 * time.Second
 	keepAliveIdle     = 2 * time.Second
@@ -26,7 +26,7 @@
 	keepAliveCount    = 3
 )
 
-// newTransport gives up connections that went silent within seconds.
+// newTransport returns a transport that closes silent connections within seconds.
 func newTransport() *http.Transport {
 	d := &net.Dialer{
 		Timeout: connectTimeout,
@@ -37,28 +37,31 @@
 	return &http.Transport{DialContext: d.DialContext, IdleConnTimeout: idleTimeout}
 }
 
-func (c *Client) request(ctx context.Context, address string, r Request, attempt int) (*http.Request, error) {
-	q, err := http.NewRequestWithContext(ctx, r.Method, "http://"+address+r.Path, bytes.NewReader(r.Body))
+// newRequest returns the HTTP request for an attempt, with the trace context and the
+// headers of the deployment.
+func (c *Client) newRequest(ctx context.Context, address string, r Request, attempt int) (*http.Request, error) {
+	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+address+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
-		return nil, errors.Newf("make request: %w", err)
+		return nil, errors.Newf("create request: %w", err)
 	}
 	for k, v := range r.Header {
-		q.Header[k] = v
+		req.Header[k] = v
 	}
-	if q.Header.Get("Content-Type") == "" && len(r.Body) > 0 {
-		q.Header.Set("Content-Type", "application/json")
+	if req.Header.Get("Content-Type") == "" && len(r.Body) > 0 {
+		req.Header.Set("Content-Type", "application/json")
 	}
-	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(q.Header))
-	q.Header.Set(headerCustomer, c.opts.Customer)
-	q.Header.Set(headerDeadline, deadlineMs(ctx))
+	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(req.Header))
+	req.Header.Set(headerCustomer, c.opts.Customer)
+	req.Header.Set(headerDeadline, deadlineMs(ctx))
 	if r.Key != "" {
-		q.Header.Set(headerKey, r.Key)
-		q.Header.Set(headerAttempt, strconv.Itoa(attempt))
+		req.Header.Set(headerKey, r.Key)
+		req.Header.Set(headerAttempt, strconv.Itoa(attempt))
 	}
 	if !r.Repeatable {
-		q.Header.Set(headerNo, "no")
-		// The library must not repeat it by itself: a resend says that it is one.
-		q.GetBody = nil
+		req.Header.Set(headerRepeatable, "no")
+		// Without GetBody, net/http cannot retry the request by itself. A retry has
+		// to carry its attempt number.
+		req.GetBody = nil
 	}
-	return q, nil
+	return req, nil
 }
