--- a/cmd/fennelyard/caller.go
+++ b/cmd/fennelyard/caller.go
@@ -20,7 +20,7 @@
 	deadline   time.Duration
 }
 
-func (f *callerFlags) add(c *cobra.Command) {
+func (f *callerFlags) addTo(c *cobra.Command) {
 	c.Flags().StringSliceVar(&f.addresses, "addresses", nil, "caller addresses (IP:PORT) of the deployment")
 	c.Flags().StringVar(&f.dataCentre, "data-centre", "", "data centre of the caller")
 	if err := c.MarkFlagRequired("addresses"); err != nil {
@@ -39,7 +39,7 @@
 	var output string
 	c := &cobra.Command{
 		Use:     "entries --addresses IP:PORT",
-		Short:   "Ask which addresses a caller should use",
+		Short:   "Print the addresses that a caller should use",
 		Example: "  fennelyard entries --addresses 10.0.0.1:7001 --data-centre hall-a",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -56,8 +56,8 @@
 			return nil
 		},
 	}
-	flags.add(c)
-	addOutput(c, &output)
+	flags.addTo(c)
+	addOutputFlag(c, &output)
 	return c
 }
 
@@ -67,14 +67,14 @@
 	c := &cobra.Command{
 		Use:   "send --addresses IP:PORT --customer NAME (--model NAME | --service NAME)",
 		Short: "Send one request to a model or to a service",
-		Long: `send asks the deployment which address to use, sends one request there and
-prints the whole answer. A request to a service is a POST that runs at most
-once; give --key to send it again.`,
+		Long: `send fetches the directory of the deployment, sends one request to an entry and
+prints the whole response. A request to a service is a POST that runs at most
+once; use --key to retry it.`,
 		Example: "  fennelyard send --addresses 10.0.0.1:7001 --customer quillen-ridge --model planner-small --prompt hello\n" +
 			"  fennelyard send --addresses 10.0.0.1:7001 --customer quillen-ridge --service booking-api --path book --body '{}' --key ride-7",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			r, err := requestOf(model, prompt, service, path, body, key)
+			r, err := newRequest(model, prompt, service, path, body, key)
 			if err != nil {
 				return err
 			}
@@ -86,21 +86,22 @@
 			return err
 		},
 	}
-	flags.add(c)
+	flags.addTo(c)
 	c.Flags().StringVar(&flags.customer, "customer", "", "customer that the request is for")
-	c.Flags().DurationVar(&flags.deadline, "deadline", 30*time.Second, "time until the answer is of no use")
-	c.Flags().StringVar(&model, "model", "", "model or adapter")
-	c.Flags().StringVar(&prompt, "prompt", "", "message to the model")
-	c.Flags().StringVar(&service, "service", "", "plain service")
+	c.Flags().DurationVar(&flags.deadline, "deadline", 30*time.Second, "maximum time to wait for the response")
+	c.Flags().StringVar(&model, "model", "", "name of the model or adapter")
+	c.Flags().StringVar(&prompt, "prompt", "", "user message for the model")
+	c.Flags().StringVar(&service, "service", "", "name of the service")
 	c.Flags().StringVar(&path, "path", "", "path within the service")
-	c.Flags().StringVar(&body, "body", "", "body of the request, @FILE reads a file")
-	c.Flags().StringVar(&key, "key", "", "key that names the request across resends")
+	c.Flags().StringVar(&body, "body", "", "body of the request; @FILE reads it from a file")
+	c.Flags().StringVar(&key, "key", "", "idempotency key that identifies the request across retries")
 	return c
 }
 
-func requestOf(model, prompt, service, path, body, key string) (fennelyard.Request, error) {
+// newRequest returns the request to a model or to a service that the flags describe.
+func newRequest(model, prompt, service, path, body, key string) (fennelyard.Request, error) {
 	if (model == "") == (service == "") {
-		return fennelyard.Request{}, errors.Newf("give either --model or --service: %w", errUsage)
+		return fennelyard.Request{}, errors.Newf("either --model or --service is required: %w", errUsage)
 	}
 	if model != "" {
 		data, err := json.Marshal(map[string]any{
@@ -112,7 +113,7 @@
 	if len(body) > 0 && body[0] == '@' {
 		var err error
 		if data, err = os.ReadFile(body[1:]); err != nil {
-			return fennelyard.Request{}, errors.Newf("read body: %w", err)
+			return fennelyard.Request{}, errors.Newf("read request body: %w", err)
 		}
 	}
 	return fennelyard.Request{Method: http.MethodPost, Path: "/services/" + service + "/" + path, Body: data, Key: key}, nil
--- a/cmd/fennelyard/explain.go
+++ b/cmd/fennelyard/explain.go
@@ -15,10 +15,10 @@
 	var files []string
 	c := &cobra.Command{
 		Use:   "explain REQUEST-ID --logs FILE [--logs FILE ...]",
-		Short: "Tell from logs what happened to a request",
+		Short: "Explain the outcome of a request from logs",
 		Long: `explain joins the log lines of several processes by the request's id, its server,
-its model and the time, and says what decided its end. Without --logs it reads
-standard input.`,
+its model and the time, and prints what determined the request's outcome. Without
+--logs it reads standard input.`,
 		Example: "  fennelyard explain 9c41d07be2a35f68 --logs entry-1.log --logs core-1.log",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -30,10 +30,10 @@
 			if err != nil {
 				return err
 			}
-			return tell(c.OutOrStdout(), s)
+			return printTimeline(c.OutOrStdout(), s)
 		},
 	}
-	c.Flags().StringArrayVar(&files, "logs", nil, "log file of a process; may be given again")
+	c.Flags().StringArrayVar(&files, "logs", nil, "log file of a process; may be repeated")
 	return c
 }
 
@@ -57,7 +57,7 @@
 	return all, nil
 }
 
-func tell(out io.Writer, s *timeline.Timeline) error {
+func printTimeline(out io.Writer, s *timeline.Timeline) error {
 	for _, q := range s.Requests {
 		if _, err := fmt.Fprintf(out, "Cause: %s\n%s\n", timeline.Cause(q), q); err != nil {
 			return errors.Newf("write: %w", err)
--- a/cmd/fennelyard/faults_test.go
+++ b/cmd/fennelyard/faults_test.go
@@ -15,26 +15,26 @@
 	"fennelyard"
 )
 
-const slowLoad = "--load-time=2s"
+const slowLoadFlag = "--load-time=2s"
 
-// startAll brings up four hosts, three of them with the control role, and what
-// the fault tests need behind them.
-func startAll(t *testing.T, engineArgs ...string) *fleet {
+// startFaultCluster starts four hosts, three of them with the control role, two engines
+// and an application server, and configures them.
+func startFaultCluster(t *testing.T, engineArgs ...string) *cluster {
 	t.Helper()
-	f := newFleet(t, 4, 3)
-	f.startEngine("engine-1", engineArgs...)
-	f.startEngine("engine-2", append([]string{"--checks-fencing=false"}, engineArgs...)...)
-	f.startApplication("booking-1")
-	f.awaitServers(3)
-	f.configure(1)
-	return f
+	clus := newCluster(t, 4, 3)
+	clus.startEngine("engine-1", engineArgs...)
+	clus.startEngine("engine-2", append([]string{"--checks-fencing=false"}, engineArgs...)...)
+	clus.startApplication("booking-1")
+	clus.awaitServers(3)
+	clus.configure(1)
+	return clus
 }
 
-// awaitLoading waits until a replica of the test's model is being loaded.
-func (f *fleet) awaitLoading() {
-	f.t.Helper()
-	f.eventually("a load", func() bool {
-		for _, m := range f.status().GetModels() {
+// awaitLoading waits until a replica of testModel is loading.
+func (clus *cluster) awaitLoading() {
+	clus.t.Helper()
+	clus.eventually("a load", func() bool {
+		for _, m := range clus.status().GetModels() {
 			if m.GetName() == testModel && m.GetLoading() == 1 {
 				return true
 			}
@@ -43,8 +43,10 @@
 	})
 }
 
-func (f *fleet) replicas() (loaded, other uint32) {
-	for _, m := range f.status().GetModels() {
+// replicaCounts returns the numbers of replicas of testModel that are loaded, and that are
+// loading or unloading.
+func (clus *cluster) replicaCounts() (loaded, other uint32) {
+	for _, m := range clus.status().GetModels() {
 		if m.GetName() == testModel {
 			return m.GetLoaded(), m.GetLoading() + m.GetUnloading()
 		}
@@ -52,74 +54,74 @@
 	return 0, 0
 }
 
-// TestLeaderDiesDuringALoad: a cold request waits, the leader orders a load and
-// is killed before the engine answers. The next leader counts the reservation,
-// gives the same order again under a new number, and the caller is served by
-// the one replica that was decided.
-func TestLeaderDiesDuringALoad(t *testing.T) {
+// A cold request waits, the leader orders a load and is killed or frozen before the
+// engine reports the load. The next leader counts the reservation, sends the same order
+// again with a new fencing token, and the request is served by the one replica that was
+// decided. A second replica would waste an accelerator.
+func TestLeaderFailsDuringLoad(t *testing.T) {
 	for _, how := range []struct {
 		name string
-		stop func(f *fleet, leader string)
+		stop func(clus *cluster, leader string)
 	}{
-		{"killed", func(f *fleet, leader string) { f.kill(leader) }},
-		{"frozen", func(f *fleet, leader string) { f.signal(leader, syscall.SIGSTOP) }},
+		{"killed", func(clus *cluster, leader string) { clus.kill(leader) }},
+		{"frozen", func(clus *cluster, leader string) { clus.sendSignal(leader, syscall.SIGSTOP) }},
 	} {
 		t.Run(how.name, func(t *testing.T) {
-			f := startAll(t, slowLoad)
-			leader := f.leader()
-			f.operateFrom(leader)
+			clus := startFaultCluster(t, slowLoadFlag)
+			leader := clus.leader()
+			clus.useOperatorOtherThan(leader)
 			answered := make(chan error, 1)
-			// The fourth host has no control role and outlives every leader.
-			go func() { answered <- f.complete(f.client(3)) }()
-			f.awaitLoading()
-			how.stop(f, leader)
+			// The fourth host has no control role, so it is never the leader that is stopped.
+			go func() { answered <- clus.requestCompletion(clus.client(3)) }()
+			clus.awaitLoading()
+			how.stop(clus, leader)
 			require.NoError(t, <-answered)
-			loaded, other := f.replicas()
+			loaded, other := clus.replicaCounts()
 			assert.EqualValues(t, 1, loaded+other, "one replica was decided")
 			if how.name == "frozen" {
-				f.signal(leader, syscall.SIGCONT)
+				clus.sendSignal(leader, syscall.SIGCONT)
 			} else {
-				f.startHost(leader)
+				clus.startHost(leader)
 			}
-			f.eventually("the old leader follows", func() bool {
-				for _, h := range f.status().GetHosts() {
+			clus.eventually("the old leader is a voter", func() bool {
+				for _, h := range clus.status().GetHosts() {
 					if h.GetName() == leader && h.GetState() == "alive" && h.GetControl() == "voter" {
 						return true
 					}
 				}
 				return false
 			})
-			loaded, other = f.replicas()
+			loaded, other = clus.replicaCounts()
 			assert.EqualValues(t, 1, loaded+other, "the old leader decides nothing")
 		})
 	}
 }
 
-// TestEngineDiesDuringALoad: the engine that loads the only replica is killed.
-// Nothing proves that it is gone until its new incarnation announces itself;
-// then the reservation is released and the waiting caller is served.
-func TestEngineDiesDuringALoad(t *testing.T) {
-	f := newFleet(t, 3, 3)
-	f.startEngine("engine-1", slowLoad)
-	f.awaitServers(1)
-	f.configure(1)
+// The engine that loads the only replica is killed. Nothing proves that it has ended until
+// its new incarnation announces itself. Then the reservation is released and the waiting
+// request is served.
+func TestEngineFailsDuringLoad(t *testing.T) {
+	clus := newCluster(t, 3, 3)
+	clus.startEngine("engine-1", slowLoadFlag)
+	clus.awaitServers(1)
+	clus.configure(1)
 	answered := make(chan error, 1)
-	go func() { answered <- f.complete(f.client()) }()
-	f.awaitLoading()
-	f.kill("engine-1")
-	f.startEngine("engine-1")
+	go func() { answered <- clus.requestCompletion(clus.client()) }()
+	clus.awaitLoading()
+	clus.kill("engine-1")
+	clus.startEngine("engine-1")
 	require.NoError(t, <-answered)
 }
 
-// TestLostDiskJoinsAnew: a control host loses its folder. It comes back under a
-// new identity, catches up as a learner and votes in place of its old self;
-// right after that a second host is lost, and the group still commits.
-func TestLostDiskJoinsAnew(t *testing.T) {
-	f := startAll(t)
-	leader := f.leader()
-	f.operateFrom(leader)
+// A control host loses its data folder. It restarts with a new identity, catches up as a
+// learner and replaces its old identity as a voter. Immediately afterwards a second host is
+// killed, and the group still commits.
+func TestControlHostRejoinsAfterDiskLoss(t *testing.T) {
+	clus := startFaultCluster(t)
+	leader := clus.leader()
+	clus.useOperatorOtherThan(leader)
 	var victim, second string
-	for _, h := range f.layout.Hosts()[:3] {
+	for _, h := range clus.layout.Hosts()[:3] {
 		switch {
 		case h.Name == leader:
 		case victim == "":
@@ -128,36 +130,35 @@
 			second = h.Name
 		}
 	}
-	f.operateFrom(victim)
-	f.kill(victim)
-	f.removeData(victim)
-	f.startHost(victim)
-	f.eventually("three voters, none of them with the lost disk", func() bool {
+	clus.useOperatorOtherThan(victim)
+	clus.kill(victim)
+	clus.removeData(victim)
+	clus.startHost(victim)
+	clus.eventually("three voters, none of them with the lost disk", func() bool {
 		voters := 0
-		code, out, _ := command("status", "--address", f.layout.Hosts()[3].Operator)
-		for _, h := range f.status().GetHosts() {
+		code, out, _ := runCommand("status", "--address", clus.layout.Hosts()[3].Operator)
+		for _, h := range clus.status().GetHosts() {
 			if h.GetControl() == "voter" || h.GetControl() == "leader" {
 				voters++
 			}
 		}
-		return code == exitOK && voters == 3 && out != "" && f.rejoined(victim)
+		return code == exitOK && voters == 3 && out != "" && clus.rejoined(victim)
 	})
-	f.operateFrom(second)
-	f.kill(second)
-	runs, err := f.book(t.Context(), f.client(3), "after-the-repair")
+	clus.useOperatorOtherThan(second)
+	clus.kill(second)
+	runs, err := clus.requestBooking(t.Context(), clus.client(3), "after-the-repair")
 	require.NoError(t, err)
 	assert.Equal(t, 1, runs)
 }
 
-// TestBookingsRunOnceWhileHostsDie sends bookings through all entries while the
-// leader and then an entry are killed, and sends each again until its outcome is
-// known. A client that gives up early would not see a second run; the server
-// counts them.
-func TestBookingsRunOnceWhileHostsDie(t *testing.T) {
-	f := startAll(t)
-	leader := f.leader()
-	f.operateFrom(leader)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+// Bookings are sent through all entries while the leader is killed and restarted, and each
+// is retried until its outcome is known. None may run twice. The server counts the runs,
+// because a client that gives up early would not observe a second one.
+func TestBookingsRunOnceWhileHostsFail(t *testing.T) {
+	clus := startFaultCluster(t)
+	leader := clus.leader()
+	clus.useOperatorOtherThan(leader)
+	ctx, cancel := context.WithTimeout(t.Context(), waitLimit)
 	defer cancel()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -166,9 +167,9 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			client := f.client()
+			client := clus.client()
 			for n := range 25 {
-				runs, err := f.bookUntilKnown(ctx, client, fmt.Sprintf("ride-%d-%d", worker, n))
+				runs, err := clus.bookUntilOutcomeKnown(ctx, client, fmt.Sprintf("ride-%d-%d", worker, n))
 				mu.Lock()
 				switch {
 				case err == nil:
@@ -181,26 +182,26 @@
 			}
 		}()
 	}
-	f.kill(leader)
-	f.startHost(leader)
+	clus.kill(leader)
+	clus.startHost(leader)
 	wg.Wait()
-	t.Logf("%d served, %d with an outcome that stays unknown", served, unknown)
+	t.Logf("%d served, %d with an outcome that remains unknown", served, unknown)
 	assert.Positive(t, served)
 	assert.Equal(t, 200, served+unknown)
 }
 
-// bookUntilKnown sends one booking until it is answered or its outcome is said
-// to stay unknown.
-func (f *fleet) bookUntilKnown(ctx context.Context, c *fennelyard.Client, key string) (int, error) {
-	again := time.NewTicker(20 * time.Millisecond)
-	defer again.Stop()
-	for ; ; <-again.C {
-		runs, err := f.book(ctx, c, key)
-		var refused *fennelyard.Error
+// bookUntilOutcomeKnown retries a booking until it succeeds or its outcome is reported to
+// remain unknown.
+func (clus *cluster) bookUntilOutcomeKnown(ctx context.Context, c *fennelyard.Client, key string) (int, error) {
+	retry := time.NewTicker(20 * time.Millisecond)
+	defer retry.Stop()
+	for ; ; <-retry.C {
+		runs, err := clus.requestBooking(ctx, c, key)
+		var refusal *fennelyard.Error
 		switch {
 		case err == nil:
 			return runs, nil
-		case errors.As(err, &refused) && refused.Code() == "outcome-unknown" && refused.RetryAfter() == 0:
+		case errors.As(err, &refusal) && refusal.Code() == "outcome-unknown" && refusal.RetryAfter() == 0:
 			return 0, err
 		case ctx.Err() != nil:
 			return 0, err
@@ -208,31 +209,31 @@
 	}
 }
 
-// TestPlannedStopUnderLoad: the leader's host is told to stop while callers keep
-// it busy. It leaves the directory, serves those who still hold the old answer,
-// hands leadership over and exits; no caller sees a failure.
+// The leader's host receives SIGTERM while clients send requests continuously. It leaves the
+// directory, serves clients that have the old directory cached, transfers leadership and
+// exits. No request may fail.
 func TestPlannedStopUnderLoad(t *testing.T) {
-	f := startAll(t)
-	require.NoError(t, f.complete(f.client()))
+	clus := startFaultCluster(t)
+	require.NoError(t, clus.requestCompletion(clus.client()))
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var failures []error
-	answers := 0
+	responses := 0
 	for range 6 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			client := f.client()
+			client := clus.client()
 			for {
 				select {
 				case <-stop:
 					return
 				default:
 				}
-				err := f.complete(client)
+				err := clus.requestCompletion(client)
 				mu.Lock()
-				answers++
+				responses++
 				if err != nil {
 					failures = append(failures, err)
 				}
@@ -240,13 +241,13 @@
 			}
 		}()
 	}
-	leader := f.leader()
-	f.operateFrom(leader)
-	f.signal(leader, syscall.SIGTERM)
-	<-f.processes[leader].done
-	assert.Zero(t, f.processes[leader].cmd.ProcessState.ExitCode())
+	leader := clus.leader()
+	clus.useOperatorOtherThan(leader)
+	clus.sendSignal(leader, syscall.SIGTERM)
+	<-clus.processes[leader].done
+	assert.Zero(t, clus.processes[leader].cmd.ProcessState.ExitCode())
 	close(stop)
 	wg.Wait()
-	assert.Empty(t, failures, "of %d answers", answers)
-	t.Logf("%d answers around the stop", answers)
+	assert.Empty(t, failures, "of %d responses", responses)
+	t.Logf("%d responses around the stop", responses)
 }
--- a/cmd/fennelyard/harmful.go
+++ b/cmd/fennelyard/harmful.go
@@ -14,10 +14,10 @@
 
 func newHarmful() *cobra.Command {
 	c := &cobra.Command{
-		Use: "harmful", Short: "Requests that end the servers that run them",
-		Long: `harmful shows the requests under which backend servers ended, as a host knows them,
-and releases one that is held back. A host's operator address answers, a control
-host's where hosts find each other through seeds.`,
+		Use: "harmful", Short: "Show and release requests that crash backend servers",
+		Long: `harmful shows the requests under which backend servers ended, as known to one host,
+and releases a request that is held back. --address is the operator address of any
+host, or of a control host where hosts discover each other through seeds.`,
 		Example: "  fennelyard harmful list --address 10.0.0.1:7002",
 	}
 	c.AddCommand(newHarmfulList(), newHarmfulShow(), newHarmfulRelease())
@@ -37,24 +37,25 @@
 				return err
 			}
 			if !all {
-				list = heldBackOf(list)
+				list = onlyHeldBack(list)
 			}
-			return write(c, flags.output, list, func(w io.Writer) {
-				table(w, "KEY\tSERVERS ENDED\tCLEARED\tLAST\tHELD BACK FOR", func(t io.Writer) {
+			return writeOutput(c, flags.output, list, func(w io.Writer) {
+				writeTable(w, "KEY\tSERVERS ENDED\tCLEARED\tLAST\tHELD BACK FOR", func(t io.Writer) {
 					for _, s := range list.GetSuspects() {
 						_, _ = fmt.Fprintf(t, "%s\t%d\t%d\t%s ago\t%s\n", s.GetKey(), len(s.GetEndedServers()), len(s.GetClearedServers()),
-							milliseconds(s.GetLastEndedAgoMs()), milliseconds(s.GetHeldBackForMs()))
+							durationFromMs(s.GetLastEndedAgoMs()), durationFromMs(s.GetHeldBackForMs()))
 					}
 				})
 			})
 		},
 	}
-	flags.addRead(c)
-	c.Flags().BoolVar(&all, "all", false, "also those that are only under suspicion")
+	flags.addReadFlags(c)
+	c.Flags().BoolVar(&all, "all", false, "also list requests that are suspected but not held back")
 	return c
 }
 
-func heldBackOf(list *schema.SuspectList) *schema.SuspectList {
+// onlyHeldBack returns the suspects that are held back.
+func onlyHeldBack(list *schema.SuspectList) *schema.SuspectList {
 	out := &schema.SuspectList{}
 	for _, s := range list.GetSuspects() {
 		if s.GetHeldBackForMs() > 0 {
@@ -64,7 +65,7 @@
 	return out
 }
 
-func milliseconds(ms uint64) time.Duration { return time.Duration(ms) * time.Millisecond }
+func durationFromMs(ms uint64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 func newHarmfulShow() *cobra.Command {
 	var flags operatorFlags
@@ -73,7 +74,7 @@
 		Example: "  fennelyard harmful show 0011223344556677889900112233445566778899aabbccdd --address 10.0.0.1:7002",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if err := checkKey(args[0]); err != nil {
+			if err := validateKey(args[0]); err != nil {
 				return err
 			}
 			list, err := flags.client().Suspects(c.Context())
@@ -82,19 +83,19 @@
 			}
 			for _, s := range list.GetSuspects() {
 				if s.GetKey() == args[0] {
-					return write(c, flags.output, s, func(w io.Writer) { writeSuspect(w, s) })
+					return writeOutput(c, flags.output, s, func(w io.Writer) { writeSuspect(w, s) })
 				}
 			}
 			return errors.Newf("no request under suspicion has the key %s: %w", args[0], errRefused)
 		},
 	}
-	flags.addRead(c)
+	flags.addReadFlags(c)
 	return c
 }
 
 func writeSuspect(w io.Writer, s *schema.SuspectView) {
 	_, _ = fmt.Fprintf(w, "request %s: %d servers ended, the last %s ago; held back for %s\n", s.GetKey(), len(s.GetEndedServers()),
-		milliseconds(s.GetLastEndedAgoMs()), milliseconds(s.GetHeldBackForMs()))
+		durationFromMs(s.GetLastEndedAgoMs()), durationFromMs(s.GetHeldBackForMs()))
 	for _, server := range s.GetEndedServers() {
 		_, _ = fmt.Fprintln(w, "  ended:  ", server)
 	}
@@ -106,28 +107,28 @@
 func newHarmfulRelease() *cobra.Command {
 	var flags operatorFlags
 	c := &cobra.Command{
-		Use: "release KEY --address IP:PORT", Short: "Hold a request back no longer",
+		Use: "release KEY --address IP:PORT", Short: "Stop holding a request back",
 		Long: `release clears a request of the servers that ended under it, at every entry within
-a second. Where it ends servers again it is held back again after the third.`,
+a second. If servers end under it again, it is held back again after the third.`,
 		Example: "  fennelyard harmful release 0011223344556677889900112233445566778899aabbccdd --address 10.0.0.1:7002 --operator ann",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if err := checkKey(args[0]); err != nil {
+			if err := validateKey(args[0]); err != nil {
 				return err
 			}
 			reply, err := flags.client().Release(c.Context(), args[0], &schema.ReleaseRequest{Operator: flags.operator})
 			if err != nil {
 				return err
 			}
-			return write(c, flags.output, reply, func(w io.Writer) { _, _ = fmt.Fprintln(w, "released", args[0]) })
+			return writeOutput(c, flags.output, reply, func(w io.Writer) { _, _ = fmt.Fprintln(w, "released", args[0]) })
 		},
 	}
-	flags.addRead(c)
-	flags.addOperator(c)
+	flags.addReadFlags(c)
+	flags.addOperatorFlag(c)
 	return c
 }
 
-func checkKey(text string) error {
+func validateKey(text string) error {
 	if _, err := quarantine.ParseKey(text); err != nil {
 		return errors.Newf("%v: %w", err, errUsage)
 	}
--- a/cmd/fennelyard/join.go
+++ b/cmd/fennelyard/join.go
@@ -23,15 +23,15 @@
 )
 
 const (
-	settingsVariable = "FENNELYARD_SETTINGS"
-	// memoryShare of the host's memory is what the collector keeps the heap
-	// under; the rest is for stacks and buffers of the system.
-	memoryShare       = 0.6
-	metricsHeaderWait = 5 * time.Second
-	verbosity         = 0
+	settingsEnvVar = "FENNELYARD_SETTINGS"
+	// memoryLimitRatio is the ratio of the Go memory limit to the host's memory. The
+	// rest is left for stacks and buffers of the system.
+	memoryLimitRatio     = 0.6
+	metricsHeaderTimeout = 5 * time.Second
+	logVerbosity         = 0
 )
 
-// hostRole is what a host runs.
+// hostRole is the role that a host runs: entry or control host.
 type hostRole interface {
 	Drain(context.Context)
 	Failed() <-chan struct{}
@@ -42,76 +42,78 @@
 	var file string
 	c := &cobra.Command{
 		Use:   "join [--settings FILE]",
-		Short: "Run a host that finds the others through seeds",
-		Long: `join runs an entry or a control host, by the addresses in its settings. Hosts
-find each other through a few control hosts, the seeds. SIGHUP reads the settings
-again; SIGTERM and SIGINT drain: nothing in flight is cut off.`,
+		Short: "Run a host that discovers the others through seeds",
+		Long: `join runs an entry or a control host, depending on the addresses in its settings.
+Hosts discover each other through a few control hosts, the seeds. SIGHUP reloads
+the settings. On SIGTERM or SIGINT the host drains without interrupting requests
+in flight.`,
 		Example: "  fennelyard join --settings /etc/fennelyard/node.yaml",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if file == "" {
-				file = os.Getenv(settingsVariable)
+				file = os.Getenv(settingsEnvVar)
 			}
 			if file == "" {
-				return errors.Newf("neither --settings nor %s is given: %w", settingsVariable, errUsage)
+				return errors.Newf("neither --settings nor %s is set: %w", settingsEnvVar, errUsage)
 			}
 			return join(c, file)
 		},
 	}
-	c.Flags().StringVar(&file, "settings", "", "settings file of this host; default: what "+settingsVariable+" names")
+	c.Flags().StringVar(&file, "settings", "", "settings file of this host; default: the value of "+settingsEnvVar+" in the environment")
 	return c
 }
 
 func join(c *cobra.Command, file string) error {
-	// Before anything else: until somebody listens for it, the signal that asks
-	// for new settings ends the process.
-	reload := reloads()
+	// This comes first, because SIGHUP ends the process until it is caught.
+	reload := notifyReload()
 	s, err := role.LoadSettings(file)
 	if err != nil {
 		return err
 	}
-	book := asynclog.New(c.OutOrStdout())
-	defer book.Close()
-	log := book.StateChanges(verbosity).WithValues("host", s.Get().GetHost())
+	logs := asynclog.New(c.OutOrStdout())
+	defer logs.Close()
+	log := logs.StateChanges(logVerbosity).WithValues("host", s.Get().GetHost())
 	if mb := s.Get().GetMemoryMb(); mb > 0 {
-		debug.SetMemoryLimit(int64(float64(mb) * memoryShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(float64(mb) * memoryLimitRatio * (1 << 20)))
 	}
 	set := metrics.New()
-	set.Gauge("log_lines_dropped", "Log lines that were dropped.", func() float64 { return float64(book.Dropped()) })
-	p, err := awaitRoom(c.Context(), log, func() (hostRole, error) {
-		return start(s, set, log, book.Requests(verbosity).WithValues("host", s.Get().GetHost()))
+	set.Gauge("log_lines_dropped", "Log lines that were dropped.", func() float64 { return float64(logs.Dropped()) })
+	h, err := startHostWithDiskSpace(c.Context(), log, func() (hostRole, error) {
+		return startHost(s, set, log, logs.Requests(logVerbosity).WithValues("host", s.Get().GetHost()))
 	})
 	if err != nil {
 		log.Error(err, "not started")
 		return err
 	}
-	scrape, err := serveMetrics(s.Get(), set, log)
+	metricsServer, err := serveMetrics(s.Get(), set, log)
 	if err != nil {
-		p.Drain(canceled())
+		h.Drain(canceledContext())
 		return err
 	}
-	defer func() { _ = scrape.Close() }()
+	defer func() { _ = metricsServer.Close() }()
 	stop := make(chan struct{})
 	defer close(stop)
 	go s.Watch(log, reload, stop)
-	now := s.Get()
-	log.Info("started", "version", version, "data-centre", now.GetDataCentre(), "seeds", now.GetSeeds(),
-		"founding", now.GetFounding(), "counted", now.GetCounted())
+	current := s.Get()
+	log.Info("started", "version", version, "data-centre", current.GetDataCentre(), "seeds", current.GetSeeds(),
+		"founding", current.GetFounding(), "counted", current.GetCounted())
 	select {
 	case <-c.Context().Done():
-	case <-p.Failed():
-		log.Error(p.Err(), "ended")
-		return errors.Newf("control role ended: %w", p.Err())
+	case <-h.Failed():
+		log.Error(h.Err(), "ended")
+		return errors.Newf("control role failed: %w", h.Err())
 	}
 	log.Info("stopping")
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.Context()), now.GetStopLimit().AsDuration())
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.Context()), current.GetStopLimit().AsDuration())
 	defer cancel()
-	p.Drain(ctx)
+	h.Drain(ctx)
 	log.Info("stopped")
 	return nil
 }
 
-func start(s *role.Settings, set *metrics.Set, log, requests logr.Logger) (hostRole, error) {
+// startHost starts a control host if the settings have an operator address, and an entry
+// otherwise.
+func startHost(s *role.Settings, set *metrics.Set, log, requests logr.Logger) (hostRole, error) {
 	if s.Get().GetOperatorAddress() != "" {
 		c, err := role.NewControl(role.ControlConfig{
 			Settings: s, Engines: platform.Engines(), Handler: platform.Operators, Metrics: set, Log: log,
@@ -131,18 +133,18 @@
 	return e, nil
 }
 
-// roomCheck is how often a host whose disk is full tries to start: whoever makes
-// room has it back within a moment.
-const roomCheck = time.Second
+// diskSpaceRetryInterval is the time between attempts to start a host whose disk is full. It
+// is short, so that the host is back soon after space is freed.
+const diskSpaceRetryInterval = time.Second
 
-// awaitRoom starts a host, and waits where its disk takes no more bytes: ending
-// instead would have it started again several times a second, and each start
-// would look like another failure.
-func awaitRoom(ctx context.Context, log logr.Logger, start func() (hostRole, error)) (hostRole, error) {
+// startHostWithDiskSpace starts a host, and waits and retries while its disk is full. If the
+// process ended instead, its supervisor would restart it several times a second and each
+// restart would appear as another failure.
+func startHostWithDiskSpace(ctx context.Context, log logr.Logger, start func() (hostRole, error)) (hostRole, error) {
 	for first := true; ; first = false {
-		p, err := start()
+		h, err := start()
 		if err == nil || !errors.Is(err, syscall.ENOSPC) {
-			return p, err
+			return h, err
 		}
 		if first {
 			log.Info("waiting for room on the disk", "error", err.Error())
@@ -150,28 +152,30 @@
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(roomCheck):
+		case <-time.After(diskSpaceRetryInterval):
 		}
 	}
 }
 
-// reloads returns the signals that ask for the settings to be read again.
-func reloads() <-chan os.Signal {
+// notifyReload returns a channel that receives SIGHUP, which reloads the settings.
+func notifyReload() <-chan os.Signal {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGHUP)
 	return c
 }
 
-func canceled() context.Context {
+// canceledContext returns a context that is already canceled.
+func canceledContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
 }
 
+// serveMetrics serves the metrics, unless the settings have no port for them.
 func serveMetrics(s *schema.JoinSettings, set *metrics.Set, log logr.Logger) (*http.Server, error) {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", set.Handler())
-	server := &http.Server{Handler: mux, ReadHeaderTimeout: metricsHeaderWait}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: metricsHeaderTimeout}
 	if s.GetMetricsPort() == 0 {
 		return server, nil
 	}
@@ -180,7 +184,7 @@
 		return nil, errors.Newf("listen for metrics: %w", err)
 	}
 	go func() {
-		// It ends with the process.
+		// The server runs until the process ends.
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			log.Error(err, "metrics no longer served")
 		}
--- a/cmd/fennelyard/join_test.go
+++ b/cmd/fennelyard/join_test.go
@@ -12,23 +12,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A control host's disk is full when it starts. It waits until there is room
-// instead of ending, which would have it started again and again; any other
-// failure ends it, and so does the signal to stop.
-func TestHostWaitsForRoomOnItsDisk(t *testing.T) {
+// A control host's disk is full when it starts. It waits for free space, because if it
+// exited its supervisor would restart it again and again. Any other error and the signal to
+// stop end it.
+func TestHostWaitsForDiskSpace(t *testing.T) {
 	full := errors.Newf("open state: %w", syscall.ENOSPC)
 	other := errors.New("address in use")
 	for name, x := range map[string]struct {
-		// outcomes are those of the starts in turn; the last one repeats.
+		// outcomes are the results of the starts in order; the last one repeats.
 		outcomes []error
 		stopped  bool
 		want     error
 		starts   int
-		took     time.Duration
+		duration time.Duration
 	}{
-		"room after three tries": {[]error{full, full, full, nil}, false, nil, 4, 3 * time.Second},
-		"another failure":        {[]error{full, other}, false, other, 2, time.Second},
-		"stopped meanwhile":      {[]error{full}, true, syscall.ENOSPC, 1, 0},
+		"space after three attempts": {[]error{full, full, full, nil}, false, nil, 4, 3 * time.Second},
+		"another error":              {[]error{full, other}, false, other, 2, time.Second},
+		"stopped while waiting":      {[]error{full}, true, syscall.ENOSPC, 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -38,13 +38,13 @@
 					cancel()
 				}
 				began, starts := time.Now(), 0
-				_, err := awaitRoom(ctx, logr.Discard(), func() (hostRole, error) {
+				_, err := startHostWithDiskSpace(ctx, logr.Discard(), func() (hostRole, error) {
 					starts++
 					return nil, x.outcomes[min(starts, len(x.outcomes))-1]
 				})
 				require.ErrorIs(t, err, x.want)
 				require.Equal(t, x.starts, starts)
-				require.Equal(t, x.took, time.Since(began))
+				require.Equal(t, x.duration, time.Since(began))
 			})
 		})
 	}
--- a/cmd/fennelyard/known_red_test.go
+++ b/cmd/fennelyard/known_red_test.go
@@ -10,17 +10,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// script returns the script that runs the project's tests.
-func script(t *testing.T) string {
+// testScript returns the path of the script that runs the tests of the project.
+func testScript(t *testing.T) string {
 	t.Helper()
 	path, err := filepath.Abs(filepath.Join("..", "..", ".ci", "tests"))
 	require.NoError(t, err)
 	return path
 }
 
-// module writes a module with a package of two tests, one of one, and one with simulated
-// time, and lists some of them as known to fail.
-func module(t *testing.T, list string, failing ...string) string {
+// writeModule writes a Go module and returns its folder. Its packages have two tests, one
+// test, and two tests on simulated time; the tests of failing fail. list is the content of
+// KNOWN-RED.txt.
+func writeModule(t *testing.T, list string, failing ...string) string {
 	t.Helper()
 	folder := t.TempDir()
 	write := func(name, text string) {
@@ -49,22 +50,22 @@
 	return folder
 }
 
-// A list of known failures that passed over too much would hide a new failure, and one
-// that passed over too little would keep everything else from landing.
-func TestKnownFailuresArePassedOver(t *testing.T) {
+// The script ignores the failures of tests that KNOWN-RED.txt lists. If it ignored too many
+// it would hide a new failure; if it ignored too few a known failure would block every change.
+func TestKnownFailuresAreTolerated(t *testing.T) {
 	for name, x := range map[string]struct {
 		list    string
 		failing []string
 		passes  bool
-		says    string
+		output  string
 	}{
 		"nothing listed, nothing fails": {passes: true},
 		"nothing listed, one fails":     {failing: []string{"TestSecond"}},
 		"the listed one fails": {
 			list: "./one TestSecond: seen, cause, issue\n", failing: []string{"TestSecond"}, passes: true,
-			says: "./one TestSecond: seen, cause, issue",
+			output: "./one TestSecond: seen, cause, issue",
 		},
-		"the listed one passes":        {list: "./one TestSecond: seen\n", passes: true, says: "./one TestSecond: seen"},
+		"the listed one passes":        {list: "./one TestSecond: seen\n", passes: true, output: "./one TestSecond: seen"},
 		"another of the package fails": {list: "./one TestSecond: seen\n", failing: []string{"TestFirst"}},
 		"one of another package fails": {list: "./one TestSecond: seen\n", failing: []string{"TestThird"}},
 		"one on simulated time fails":  {failing: []string{"TestFourth"}},
@@ -73,10 +74,10 @@
 			list: "./simulated TestFourth: seen\n", failing: []string{"TestConfigurationsInForceUnderFaults"},
 		},
 		"the listed one of simulated time fails": {
-			list: "./simulated TestFourth: seen\n", failing: []string{"TestFourth"}, passes: true, says: "./simulated TestFourth: seen",
+			list: "./simulated TestFourth: seen\n", failing: []string{"TestFourth"}, passes: true, output: "./simulated TestFourth: seen",
 		},
 		"the longest one is listed and fails": {
-			list: "./simulated TestConfigurationsInForceUnderFaults: seen\n", passes: true, says: "UnderFaults: seen",
+			list: "./simulated TestConfigurationsInForceUnderFaults: seen\n", passes: true, output: "UnderFaults: seen",
 			failing: []string{"TestConfigurationsInForceUnderFaults"},
 		},
 		"listed under another package":      {list: "./two TestSecond: seen\n", failing: []string{"TestSecond"}},
@@ -85,20 +86,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := exec.Command(script(t))
-			c.Dir = module(t, x.list, x.failing...)
+			c := exec.Command(testScript(t))
+			c.Dir = writeModule(t, x.list, x.failing...)
 			out, err := c.CombinedOutput()
 			require.Equal(t, x.passes, err == nil, "%s", out)
-			require.Contains(t, string(out), x.says)
+			require.Contains(t, string(out), x.output)
 		})
 	}
 }
 
-// The race detector's own code ends the process now and then where threads run timers of
-// one bubble of simulated time at once. So packages with it run under the detector on one
-// processor, and without it on all, so that no order of events is tried less.
+// The race detector itself sometimes crashes the process when several threads run timers of
+// one synctest bubble at once. So packages with simulated time run with the detector on one
+// processor, and without it on all processors, so that no order of events is tested less.
 func TestSimulatedTimeRunsOnOneProcessorUnderTheDetector(t *testing.T) {
-	folder := module(t, "")
+	folder := writeModule(t, "")
 	runs := filepath.Join(folder, "runs")
 	write := func(file, tag, name string) {
 		text := "//go:build " + tag + "\n\npackage simulated\n\nimport (\n\"fmt\"\n\"os\"\n\"runtime\"\n\"testing\"\n)\n\n" +
@@ -111,7 +112,7 @@
 	}
 	write("race_test.go", "race", "detector")
 	write("plain_test.go", "!race", "plain")
-	c := exec.Command(script(t))
+	c := exec.Command(testScript(t))
 	c.Dir, c.Env = folder, append(os.Environ(), "GOMAXPROCS=2")
 	out, err := c.CombinedOutput()
 	require.NoError(t, err, "%s", out)
--- a/cmd/fennelyard/measure.go
+++ b/cmd/fennelyard/measure.go
@@ -12,7 +12,7 @@
 
 func newMeasure() *cobra.Command {
 	c := &cobra.Command{
-		Use: "measure", Short: "Measure what docs rest on",
+		Use: "measure", Short: "Measure the figures that the documentation is based on",
 		Example: "  fennelyard measure capacity",
 	}
 	c.AddCommand(newMeasureCapacity(), newMeasurePolicy(), newMeasureRouting())
@@ -23,7 +23,7 @@
 	var output string
 	c := &cobra.Command{
 		Use: "capacity", Short: "Fit the slopes of docs/CAPACITY.md",
-		Long:    "capacity steps each part through several sizes with small stand-ins and prints the fitted slope and its standard error.",
+		Long:    "capacity measures each component at several sizes with small stand-ins and prints the fitted slopes and their standard errors.",
 		Example: "  fennelyard measure capacity --output json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -36,7 +36,7 @@
 			if output == outputJSON {
 				return writeSlopes(c, slopes)
 			}
-			table(c.OutOrStdout(), "MEASURED\tPER\tSLOPE\tERROR\tBASE\tUNIT\tCARRIED BY", func(t io.Writer) {
+			writeTable(c.OutOrStdout(), "MEASURED\tPER\tSLOPE\tERROR\tBASE\tUNIT\tCARRIED BY", func(t io.Writer) {
 				for _, s := range slopes {
 					x, y := s.Units()
 					_, _ = fmt.Fprintf(t, "%s\t%s\t%.4g\t%.2g\t%.4g\t%s\t%s\n", s.Name(), x, s.PerUnit(), s.Error(), s.Base(), y, s.Mechanism())
@@ -45,7 +45,7 @@
 			return nil
 		},
 	}
-	addOutput(c, &output)
+	addOutputFlag(c, &output)
 	return c
 }
 
@@ -77,11 +77,11 @@
 	var noise float64
 	var entries int
 	c := &cobra.Command{
-		Use: "routing", Short: "Compare ways to choose a server for requests of very different cost",
+		Use: "routing", Short: "Compare load-balancing policies for requests of very different cost",
 		Example: "  fennelyard measure routing --noise 0.5",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			table(c.OutOrStdout(), "POLICY\tWAIT P50 S\tP95 S\tP99 S", func(t io.Writer) {
+			writeTable(c.OutOrStdout(), "POLICY\tWAIT P50 S\tP95 S\tP99 S", func(t io.Writer) {
 				for _, r := range measure.Routing(seed, noise, entries) {
 					_, _ = fmt.Fprintf(t, "%s\t%.3f\t%.2f\t%.2f\n", r.Policy, r.P50, r.P95, r.P99)
 				}
@@ -89,8 +89,8 @@
 			return nil
 		},
 	}
-	c.Flags().Int64Var(&seed, "seed", 101, "seed of the requests")
-	c.Flags().IntVar(&entries, "entries", 7, "entries, each of which sees only its own requests")
-	c.Flags().Float64Var(&noise, "noise", 0.5, "spread of the cost that the size does not explain")
+	c.Flags().Int64Var(&seed, "seed", 101, "seed of the generated requests")
+	c.Flags().IntVar(&entries, "entries", 7, "number of entries; each observes only its own requests")
+	c.Flags().Float64Var(&noise, "noise", 0.5, "log-normal spread of the cost that the size does not explain")
 	return c
 }
--- a/cmd/fennelyard/page.go
+++ b/cmd/fennelyard/page.go
@@ -8,9 +8,9 @@
 	"fennelyard/internal/settings"
 )
 
-// newPage is hidden: it makes the generated pages of docs/.
+// newPage returns a hidden command that generates pages of docs/.
 func newPage() *cobra.Command {
-	c := &cobra.Command{Use: "page", Short: "Print a generated page of the docs", Hidden: true}
+	c := &cobra.Command{Use: "page", Short: "Print a generated page of the documentation", Hidden: true}
 	c.AddCommand(&cobra.Command{
 		Use: "settings", Short: "Print docs/SETTINGS.md", Args: cobra.NoArgs,
 		Example: "  fennelyard page settings > docs/SETTINGS.md",
--- a/cmd/fennelyard/policy.go
+++ b/cmd/fennelyard/policy.go
@@ -31,34 +31,34 @@
 		Use: "policy", Short: "Replay arrivals through the placement policy and its baselines",
 		Long: `policy replays arrivals through the decision code alone, on simulated time: no
 network, no processes. It prints the cold-start time of visits (the first request
-of a target after a minute without one; 0 when a replica was kept) and the idle
+of a target after a minute without one; 0 when a replica was loaded) and the idle
 accelerator hours, for the policy at several idle prices and for the baselines, and
-on standard error how far it is. One seed tells policies apart; take three or more for
-spreads.`,
+its progress on standard error. One seed is enough to distinguish policies; use three
+or more for spreads.`,
 		Example: "  fennelyard measure policy --deployment kapiti --seeds 101,102,103 --plot kapiti.svg",
 		Args:    cobra.NoArgs,
 		RunE:    func(c *cobra.Command, _ []string) error { return measurePolicy(c, f) },
 	}
-	c.Flags().StringVar(&f.deployment, "deployment", "quillen-ridge", "quillen-ridge or kapiti")
+	c.Flags().StringVar(&f.deployment, "deployment", "quillen-ridge", "deployment to generate: quillen-ridge or kapiti")
 	c.Flags().Int64SliceVar(&f.seeds, "seeds", []int64{101}, "seeds of the generated days; each takes some seconds")
 	c.Flags().IntVar(&f.days, "days", 7, "days to measure")
-	c.Flags().IntVar(&f.warmUp, "warm-up", 7, "days before these that are replayed and not measured")
+	c.Flags().IntVar(&f.warmUp, "warm-up", 7, "days that are replayed before the measured ones")
 	c.Flags().StringVar(&f.arrivals, "arrivals", "", "CSV file of recorded arrivals: seconds,target")
-	c.Flags().StringVar(&f.plot, "plot", "", "write the trade-off as .svg or .png")
-	addOutput(c, &f.output)
+	c.Flags().StringVar(&f.plot, "plot", "", "write a plot of the trade-off to this .svg or .png file")
+	addOutputFlag(c, &f.output)
 	return c
 }
 
 func measurePolicy(c *cobra.Command, f policyFlags) error {
 	d, ok := map[string]replay.Deployment{"quillen-ridge": replay.QuillenRidge, "kapiti": replay.Kapiti}[f.deployment]
 	if !ok {
-		return errors.Newf("--deployment %q: quillen-ridge or kapiti: %w", f.deployment, errUsage)
+		return errors.Newf("--deployment %q: must be quillen-ridge or kapiti: %w", f.deployment, errUsage)
 	}
-	scenarios, err := scenariosOf(d, f)
+	scenarios, err := newScenarios(d, f)
 	if err != nil {
 		return err
 	}
-	summaries := replay.Summarize(runAll(scenarios, f.seeds, replay.All(), func(done, all int) {
+	summaries := replay.Summarize(replayAll(scenarios, f.seeds, replay.All(), func(done, all int) {
 		_, _ = fmt.Fprintf(c.ErrOrStderr(), "replayed %d of %d\n", done, all)
 	}))
 	if f.plot != "" {
@@ -71,7 +71,7 @@
 		enc.SetIndent("", "  ")
 		return enc.Encode(summaries)
 	}
-	table(c.OutOrStdout(), "POLICY\tP50 S\tP95 S\tP99 S\t±\tMEAN S\tIDLE HOURS\t±\tLATE %\tREFUSED\tLOADS\tREMOTE GIB\tFORECAST ERROR P95 S", func(t io.Writer) {
+	writeTable(c.OutOrStdout(), "POLICY\tP50 S\tP95 S\tP99 S\t±\tMEAN S\tIDLE HOURS\t±\tLATE %\tREFUSED\tLOADS\tREMOTE GIB\tFORECAST ERROR P95 S", func(t io.Writer) {
 		for _, s := range summaries {
 			_, _ = fmt.Fprintf(t, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.3f\t%.0f\t%.0f\t%.2f\t%.1f\t%.0f\t%.0f\t%.1f\n", s.Policy, s.P50, s.P95, s.P99, s.P99Spread,
 				s.Mean, s.IdleHours, s.IdleSpread, 100*s.LateShare, s.Refused, s.Loads, s.RemoteGiB, s.ForecastError)
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func scenariosOf(d replay.Deployment, f policyFlags) ([]replay.Scenario, error) {
+func newScenarios(d replay.Deployment, f policyFlags) ([]replay.Scenario, error) {
 	var out []replay.Scenario
 	for _, seed := range f.seeds {
 		s := d.Generate(seed, f.warmUp+f.days)
@@ -108,22 +108,22 @@
 	return out, nil
 }
 
-// runAll replays on all cores and tells how far it is; the order of the results does not
-// depend on it.
-func runAll(scenarios []replay.Scenario, seeds []int64, policies []replay.Policy, progress func(done, all int)) []replay.Result {
+// replayAll runs the replays on all cores and calls progress after each. The order of the
+// results does not depend on the order in which the replays end.
+func replayAll(scenarios []replay.Scenario, seeds []int64, policies []replay.Policy, progress func(done, all int)) []replay.Result {
 	out := make([]replay.Result, len(scenarios)*len(policies))
-	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	semaphore := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	done := 0
 	for i, s := range scenarios {
 		for j, p := range policies {
 			wg.Add(1)
-			slots <- struct{}{}
+			semaphore <- struct{}{}
 			go func() {
 				defer wg.Done()
 				out[i*len(policies)+j] = replay.Run(s, seeds[i], p)
-				<-slots
+				<-semaphore
 				mu.Lock()
 				defer mu.Unlock()
 				done++
--- a/cmd/fennelyard/process_test.go
+++ b/cmd/fennelyard/process_test.go
@@ -25,217 +25,224 @@
 )
 
 const (
-	runAsProgram = "FENNELYARD_TEST_PROGRAM"
-	patience     = 60 * time.Second
-	testCustomer = "quillen-ridge"
-	testModel    = "planner-small"
-	testService  = "booking-api"
+	runAsProgramEnvVar = "FENNELYARD_TEST_PROGRAM"
+	waitLimit          = 60 * time.Second
+	testCustomer       = "quillen-ridge"
+	testModel          = "planner-small"
+	testService        = "booking-api"
 )
 
-// TestMain lets the test binary be the program itself, so that the tests run
-// what was built with them.
+// TestMain runs the test binary as the program itself if the environment variable is
+// set, so that the tests run the program as it was built with them.
 func TestMain(m *testing.M) {
-	if os.Getenv(runAsProgram) == "" {
+	if os.Getenv(runAsProgramEnvVar) == "" {
 		os.Exit(m.Run())
 	}
 	main()
 }
 
-// fleet is a deployment of real processes.
-type fleet struct {
-	t      *testing.T
-	layout *demo.Layout
-	oper   *operator.Client
+// cluster is a deployment whose hosts and backend servers are processes.
+type cluster struct {
+	t              *testing.T
+	layout         *demo.Layout
+	operatorClient *operator.Client
 
 	mu sync.Mutex
-	// processes holds the latest process under a name; guarded by mu where tests
-	// start processes from several goroutines.
+	// processes maps a name to its latest process; guarded by mu in tests that start
+	// processes from several goroutines.
 	processes map[string]*process
 }
 
-// process returns the latest process under a name.
-func (f *fleet) process(name string) *process {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.processes[name]
+// process returns the latest process of a name.
+func (clus *cluster) process(name string) *process {
+	clus.mu.Lock()
+	defer clus.mu.Unlock()
+	return clus.processes[name]
 }
 
+// process is a started process with its combined output.
 type process struct {
 	cmd  *exec.Cmd
-	log  *lockedBuffer
+	log  *syncBuffer
 	done chan struct{}
 }
 
-type lockedBuffer struct {
+// syncBuffer is a bytes.Buffer that is safe for concurrent use.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lockedBuffer) Write(p []byte) (int, error) {
+func (l *syncBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-func (l *lockedBuffer) String() string {
+func (l *syncBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
-func newFleet(t *testing.T, hosts, controls int) *fleet {
+func newCluster(t *testing.T, hosts, controls int) *cluster {
 	t.Helper()
 	layout, err := demo.NewLayout(hosts, controls, t.TempDir(), "entry:\n  directory-keep: 1s\n")
 	require.NoError(t, err)
-	f := &fleet{t: t, layout: layout, processes: map[string]*process{}}
-	t.Cleanup(f.close)
+	clus := &cluster{t: t, layout: layout, processes: map[string]*process{}}
+	t.Cleanup(clus.close)
 	for _, h := range layout.Hosts() {
-		f.startHost(h.Name)
+		clus.startHost(h.Name)
 	}
-	f.oper = operator.NewClient(layout.Hosts()[0].Operator)
-	return f
+	clus.operatorClient = operator.NewClient(layout.Hosts()[0].Operator)
+	return clus
 }
 
-func (f *fleet) start(name string, args ...string) {
-	f.t.Helper()
-	p := &process{cmd: exec.Command(os.Args[0], args...), log: &lockedBuffer{}, done: make(chan struct{})}
-	p.cmd.Env = append(os.Environ(), runAsProgram+"=1")
+func (clus *cluster) start(name string, args ...string) {
+	clus.t.Helper()
+	p := &process{cmd: exec.Command(os.Args[0], args...), log: &syncBuffer{}, done: make(chan struct{})}
+	p.cmd.Env = append(os.Environ(), runAsProgramEnvVar+"=1")
 	p.cmd.Stdout, p.cmd.Stderr = p.log, p.log
-	require.NoError(f.t, p.cmd.Start())
+	require.NoError(clus.t, p.cmd.Start())
 	go func() {
 		defer close(p.done)
 		_ = p.cmd.Wait()
 	}()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.processes[name] = p
+	clus.mu.Lock()
+	defer clus.mu.Unlock()
+	clus.processes[name] = p
 }
 
-func (f *fleet) startHost(name string) {
-	f.t.Helper()
-	file := filepath.Join(f.t.TempDir(), name+".yaml")
-	require.NoError(f.t, os.WriteFile(file, []byte(f.layout.YAML(name)), 0o600))
-	f.start(name, "serve", "--settings", file)
+func (clus *cluster) startHost(name string) {
+	clus.t.Helper()
+	file := filepath.Join(clus.t.TempDir(), name+".yaml")
+	require.NoError(clus.t, os.WriteFile(file, []byte(clus.layout.YAML(name)), 0o600))
+	clus.start(name, "serve", "--settings", file)
 }
 
-func (f *fleet) startEngine(name string, args ...string) {
-	f.start(name, append([]string{
-		"standin", "engine", "--name", name, "--entries", strings.Join(f.layout.Backends(), ","),
+func (clus *cluster) startEngine(name string, args ...string) {
+	clus.start(name, append([]string{
+		"standin", "engine", "--name", name, "--entries", strings.Join(clus.layout.Backends(), ","),
 		"--listen", "127.0.0.61:0",
 	}, args...)...)
 }
 
-func (f *fleet) startApplication(name string) {
-	f.start(name, "standin", "application", "--name", name, "--service", testService,
-		"--entries", strings.Join(f.layout.Backends(), ","), "--listen", "127.0.0.62:0")
+func (clus *cluster) startApplication(name string) {
+	clus.start(name, "standin", "application", "--name", name, "--service", testService,
+		"--entries", strings.Join(clus.layout.Backends(), ","), "--listen", "127.0.0.62:0")
 }
 
-func (f *fleet) signal(name string, s syscall.Signal) {
-	f.t.Helper()
-	require.NoError(f.t, f.processes[name].cmd.Process.Signal(s))
+func (clus *cluster) sendSignal(name string, s syscall.Signal) {
+	clus.t.Helper()
+	require.NoError(clus.t, clus.processes[name].cmd.Process.Signal(s))
 }
 
-// kill ends a process at once and waits for its end.
-func (f *fleet) kill(name string) {
-	f.signal(name, syscall.SIGKILL)
-	<-f.processes[name].done
+// kill sends SIGKILL to a process and waits until it has exited.
+func (clus *cluster) kill(name string) {
+	clus.sendSignal(name, syscall.SIGKILL)
+	<-clus.processes[name].done
 }
 
-func (f *fleet) close() {
-	for name, p := range f.processes {
+func (clus *cluster) close() {
+	for name, p := range clus.processes {
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
 		_ = p.cmd.Process.Kill()
 		<-p.done
-		if f.t.Failed() {
-			f.t.Logf("log of %s:\n%s", name, p.log)
+		if clus.t.Failed() {
+			clus.t.Logf("log of %s:\n%s", name, p.log)
 		}
 	}
 }
 
-func (f *fleet) eventually(what string, holds func() bool) {
-	f.t.Helper()
-	limit := time.After(patience)
+// eventually waits until a condition is met and fails the test after waitLimit.
+func (clus *cluster) eventually(what string, met func() bool) {
+	clus.t.Helper()
+	timeout := time.After(waitLimit)
 	ticker := time.NewTicker(20 * time.Millisecond)
 	defer ticker.Stop()
-	for !holds() {
+	for !met() {
 		select {
-		case <-limit:
-			require.Fail(f.t, "did not come to pass: "+what)
+		case <-timeout:
+			require.Fail(clus.t, "condition not met: "+what)
 		case <-ticker.C:
 		}
 	}
 }
 
-func (f *fleet) status() *schema.StatusView {
-	s, err := f.oper.Status(f.t.Context())
+// status returns the status of the deployment, or nil if it is unavailable or stale.
+func (clus *cluster) status() *schema.StatusView {
+	s, err := clus.operatorClient.Status(clus.t.Context())
 	if err != nil || s.GetStale() != "" {
 		return nil
 	}
 	return s
 }
 
-func (f *fleet) awaitServers(n int) {
-	f.t.Helper()
-	f.eventually(fmt.Sprintf("%d servers", n), func() bool { return len(f.status().GetServers()) == n })
+func (clus *cluster) awaitServers(n int) {
+	clus.t.Helper()
+	clus.eventually(fmt.Sprintf("%d servers", n), func() bool { return len(clus.status().GetServers()) == n })
 }
 
-// configure applies and confirms the intent of these tests.
-func (f *fleet) configure(replicas uint32) {
-	f.t.Helper()
+// configure applies and confirms the intent of these tests and waits until all hosts
+// have it.
+func (clus *cluster) configure(replicas uint32) {
+	clus.t.Helper()
 	in := &schema.Intent{
 		Name: "test", Customer: &schema.CustomerIntent{Name: testCustomer},
 		Models:   []*schema.ModelIntent{{Name: testModel, Version: "1", MemoryMib: 8192, MaxReplicas: replicas}},
 		Services: []*schema.ServiceIntent{{Name: testService}},
 	}
 	var plan uint64
-	f.eventually("a plan", func() bool {
-		list, err := f.oper.Intents(f.t.Context())
+	clus.eventually("a plan", func() bool {
+		list, err := clus.operatorClient.Intents(clus.t.Context())
 		if err != nil {
 			return false
 		}
-		reply, err := f.oper.Apply(f.t.Context(), &schema.IntentRequest{
+		reply, err := clus.operatorClient.Apply(clus.t.Context(), &schema.IntentRequest{
 			CommandId: "apply", Operator: "ann", BaseRevision: list.GetRevision(), Intent: in,
 		})
 		plan = reply.GetPlan().GetNumber()
 		return err == nil && plan > 0
 	})
 	var revision uint64
-	f.eventually("the confirmation", func() bool {
-		reply, err := f.oper.Decide(f.t.Context(), plan, true, &schema.DecisionRequest{CommandId: "confirm", Operator: "ann"})
+	clus.eventually("the confirmation", func() bool {
+		reply, err := clus.operatorClient.Decide(clus.t.Context(), plan, true, &schema.DecisionRequest{CommandId: "confirm", Operator: "ann"})
 		revision = reply.GetRevision()
 		return err == nil && reply.GetResult() == "ok"
 	})
-	for _, h := range f.layout.Hosts() {
-		f.eventually("the configuration in force on "+h.Name, func() bool {
-			s, err := operator.NewClient(h.Operator).Status(f.t.Context())
+	for _, h := range clus.layout.Hosts() {
+		clus.eventually("the configuration in force on "+h.Name, func() bool {
+			s, err := operator.NewClient(h.Operator).Status(clus.t.Context())
 			return err == nil && s.GetEntryRevision() >= revision
 		})
 	}
 }
 
-func (f *fleet) client(hosts ...int) *fennelyard.Client {
-	addresses := f.layout.Callers()
+// client returns a client of some hosts by index, or of all hosts.
+func (clus *cluster) client(hosts ...int) *fennelyard.Client {
+	addresses := clus.layout.Callers()
 	if len(hosts) > 0 {
 		addresses = nil
 		for _, i := range hosts {
-			addresses = append(addresses, f.layout.Hosts()[i].Caller)
+			addresses = append(addresses, clus.layout.Hosts()[i].Caller)
 		}
 	}
-	return fennelyard.NewClient(fennelyard.ClientOptions{Addresses: addresses, Customer: testCustomer, Deadline: patience})
+	return fennelyard.NewClient(fennelyard.ClientOptions{Addresses: addresses, Customer: testCustomer, Deadline: waitLimit})
 }
 
-func (f *fleet) complete(c *fennelyard.Client) error {
-	answer, err := c.Complete(f.t.Context(), []byte(`{"model":"`+testModel+`"}`))
+func (clus *cluster) requestCompletion(c *fennelyard.Client) error {
+	answer, err := c.Complete(clus.t.Context(), []byte(`{"model":"`+testModel+`"}`))
 	if err != nil {
 		return err
 	}
 	if !bytes.Contains(answer.Body(), []byte(`"finish_reason":"stop"`)) {
-		return fmt.Errorf("not whole: %s", answer.Body())
+		return fmt.Errorf("incomplete response: %s", answer.Body())
 	}
 	return nil
 }
 
-func (f *fleet) book(ctx context.Context, c *fennelyard.Client, key string) (runs int, err error) {
+// requestBooking sends a booking and returns how often the application ran it.
+func (clus *cluster) requestBooking(ctx context.Context, c *fennelyard.Client, key string) (runs int, err error) {
 	answer, err := c.Do(ctx, fennelyard.Request{
 		Method: http.MethodPost, Path: "/services/" + testService + "/book", Body: []byte(`{}`), Key: key,
 	})
@@ -248,11 +255,11 @@
 	return booked.Runs, json.Unmarshal(answer.Body(), &booked)
 }
 
-func (f *fleet) leader() string {
-	f.t.Helper()
+func (clus *cluster) leader() string {
+	clus.t.Helper()
 	leader := ""
-	f.eventually("a leader", func() bool {
-		for _, h := range f.status().GetHosts() {
+	clus.eventually("a leader", func() bool {
+		for _, h := range clus.status().GetHosts() {
 			if h.GetControl() == "leader" {
 				leader = h.GetName()
 			}
@@ -262,33 +269,33 @@
 	return leader
 }
 
-func (f *fleet) removeData(host string) {
-	f.t.Helper()
-	require.NoError(f.t, os.RemoveAll(f.layout.DataFolder(host)))
+func (clus *cluster) removeData(host string) {
+	clus.t.Helper()
+	require.NoError(clus.t, os.RemoveAll(clus.layout.DataFolder(host)))
 }
 
-// rejoined reports whether a host's log says that it votes under its new disk:
-// it heard of a leader after its restart and the leader lists it as a voter.
-func (f *fleet) rejoined(host string) bool {
-	for _, h := range f.status().GetHosts() {
+// rejoined reports whether a host votes after the loss of its disk: it has found a
+// leader since its restart, by its log, and the leader lists it as a voter.
+func (clus *cluster) rejoined(host string) bool {
+	for _, h := range clus.status().GetHosts() {
 		if h.GetName() == host {
-			return h.GetControl() == "voter" && strings.Contains(f.processes[host].log.String(), "entry ready")
+			return h.GetControl() == "voter" && strings.Contains(clus.processes[host].log.String(), "entry ready")
 		}
 	}
 	return false
 }
 
-// operateFrom moves the operator to another host.
-func (f *fleet) operateFrom(not string) {
-	for _, h := range f.layout.Hosts() {
+// useOperatorOtherThan selects the operator address of another host.
+func (clus *cluster) useOperatorOtherThan(not string) {
+	for _, h := range clus.layout.Hosts() {
 		if h.Name != not {
-			f.oper = operator.NewClient(h.Operator)
+			clus.operatorClient = operator.NewClient(h.Operator)
 		}
 	}
 }
 
-// command runs a command line in this process.
-func command(args ...string) (code int, out, errOut string) {
+// runCommand executes a command line in this process.
+func runCommand(args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	code = run(context.Background(), args, &o, io.MultiWriter(&e))
 	return code, o.String(), e.String()
--- a/cmd/fennelyard/proxy_test.go
+++ b/cmd/fennelyard/proxy_test.go
@@ -9,75 +9,77 @@
 	"time"
 )
 
-// proxyFault is what a proxy does to a connection.
+// proxyFault is a fault that a proxy injects into a connection.
 type proxyFault int
 
-// The faults.
+// The faults of proxies.
 const (
-	proxyPasses proxyFault = iota
-	// proxyDelays holds each piece of the answer up.
+	// proxyForwards forwards everything without a fault.
+	proxyForwards proxyFault = iota
+	// proxyDelays delays each part of the response.
 	proxyDelays
-	// proxyResets ends the connection with a reset after some bytes of the answer.
+	// proxyResets resets the connection after some bytes of the response.
 	proxyResets
-	// proxySilences passes the request on and, after some bytes, nothing of the answer.
-	proxySilences
-	// proxySwallows passes nothing of the request on, and never answers.
-	proxySwallows
+	// proxyDropsResponse forwards the request, and drops the response after some bytes.
+	proxyDropsResponse
+	// proxyDropsRequest drops the request and never responds.
+	proxyDropsRequest
 	proxyFaults
 )
 
 const (
-	// proxyHarms is how many connections there are to one that is not left alone.
-	proxyHarms = 5
-	// proxyDelayMost is how long a piece is held up at the most.
-	proxyDelayMost = 150 * time.Millisecond
-	// answerBytes is after how many bytes of a server's answer a fault strikes at the latest:
-	// in its header, its body, or not at all; streamBytes is the same for the streams between
-	// hosts, which last.
-	answerBytes = 400
-	streamBytes = 20_000
+	// connectionsPerFault is the mean number of connections to one that draws a fault.
+	connectionsPerFault = 5
+	// maxProxyDelay is the maximum delay of a part of a response.
+	maxProxyDelay = 150 * time.Millisecond
+	// maxResponseFaultBytes is the maximum number of bytes of a server's response before a
+	// fault. It is such that the fault occurs in the header, in the body, or not at all.
+	// maxStreamFaultBytes is the same for the long-lived streams between hosts.
+	maxResponseFaultBytes = 400
+	maxStreamFaultBytes   = 20_000
 )
 
-// direction is a direction of a proxy's connections.
+// direction is a direction of the connections of a proxy.
 type direction int
 
-// The directions: to the target, and back from it.
+// The directions: to the target and from it.
 const (
-	directionTo direction = iota
-	directionBack
+	directionRequest direction = iota
+	directionResponse
 	directions
 )
 
-// proxy stands before a backend server or a control host and does to its connections what
-// networks do. It ends with its context, as the server's process does.
+// proxy forwards connections to a backend server or a control host and injects network
+// faults into them. It ends with its context, as does the process of the server.
 type proxy struct {
-	l      net.Listener
-	target string
-	// calm is over when no connection is to be harmed any more.
-	calm context.Context
-	// bytesMost is after how many bytes of an answer a fault strikes at the latest.
-	bytesMost int64
-	wg        sync.WaitGroup
+	listener net.Listener
+	target   string
+	// faultsCtx ends the injection of faults.
+	faultsCtx context.Context
+	// maxFaultBytes is the maximum number of bytes of a response before a fault.
+	maxFaultBytes int64
+	wg            sync.WaitGroup
 
 	mu sync.Mutex
-	// random is guarded by mu, as is cut: by direction, until when nothing passes on any
-	// connection. What was sent meanwhile comes late.
+	// random is guarded by mu.
 	random *rand.Rand
-	cut    [directions]time.Time
+	// blockedUntil is the time until which a direction is blocked on all connections; data
+	// sent in the meantime is delayed. It is guarded by mu.
+	blockedUntil [directions]time.Time
 }
 
-// sever lets nothing pass in a direction for a while.
-func (p *proxy) sever(d direction, wait time.Duration) {
+// block blocks a direction of all connections for a duration.
+func (p *proxy) block(d direction, duration time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cut[d] = time.Now().Add(wait)
+	p.blockedUntil[d] = time.Now().Add(duration)
 }
 
-// await waits until a direction is open.
-func (p *proxy) await(d direction) {
+// awaitUnblocked waits until a direction is not blocked.
+func (p *proxy) awaitUnblocked(d direction) {
 	for {
 		p.mu.Lock()
-		wait := time.Until(p.cut[d])
+		wait := time.Until(p.blockedUntil[d])
 		p.mu.Unlock()
 		if wait <= 0 {
 			return
@@ -86,103 +88,104 @@
 	}
 }
 
-// severable is what is read of a connection whose direction may be cut.
-type severable struct {
-	p *proxy
-	d direction
-	r io.Reader
+// blockableReader reads from a connection in a direction that may be blocked.
+type blockableReader struct {
+	proxy     *proxy
+	direction direction
+	source    io.Reader
 }
 
 // Read implements io.Reader.
-func (s severable) Read(b []byte) (int, error) {
-	n, err := s.r.Read(b)
-	s.p.await(s.d)
+func (s blockableReader) Read(b []byte) (int, error) {
+	n, err := s.source.Read(b)
+	s.proxy.awaitUnblocked(s.direction)
 	return n, err
 }
 
-// newProxy starts a proxy at an address before a server; it harms connections until calm
-// is over.
-func newProxy(ctx, calm context.Context, l net.Listener, target string, bytesMost int64, random *rand.Rand) *proxy {
-	p := &proxy{l: l, target: target, calm: calm, bytesMost: bytesMost, random: random}
+// newProxy starts a proxy that accepts connections on l and forwards them to target until
+// ctx ends. It injects faults until faultsCtx ends.
+func newProxy(ctx, faultsCtx context.Context, l net.Listener, target string, maxFaultBytes int64, random *rand.Rand) *proxy {
+	p := &proxy{listener: l, target: target, faultsCtx: faultsCtx, maxFaultBytes: maxFaultBytes, random: random}
 	p.wg.Go(func() {
 		<-ctx.Done()
 		_ = l.Close()
 	})
 	p.wg.Go(func() {
 		for {
-			near, err := l.Accept()
+			client, err := l.Accept()
 			if err != nil {
 				return
 			}
-			p.wg.Go(func() { p.serve(ctx, near) })
+			p.wg.Go(func() { p.serve(ctx, client) })
 		}
 	})
 	return p
 }
 
-// close waits until all has ended; the context must be over.
+// close waits until all goroutines of the proxy have ended. Its context must be done.
 func (p *proxy) close() { p.wg.Wait() }
 
-// draw returns what happens to a connection: a fault, after how many bytes, and for how
-// long pieces are held up.
-func (p *proxy) draw() (fault proxyFault, after int64, delay time.Duration) {
+// drawFault draws the fault of a connection, the number of bytes before it, and the delay of
+// each part of the response.
+func (p *proxy) drawFault() (fault proxyFault, after int64, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.calm.Err() != nil || p.random.IntN(proxyHarms) != 0 {
-		return proxyPasses, 0, 0
+	if p.faultsCtx.Err() != nil || p.random.IntN(connectionsPerFault) != 0 {
+		return proxyForwards, 0, 0
 	}
-	return proxyFault(p.random.IntN(int(proxyFaults))), p.random.Int64N(p.bytesMost), rand.N(proxyDelayMost)
+	return proxyFault(p.random.IntN(int(proxyFaults))), p.random.Int64N(p.maxFaultBytes), rand.N(maxProxyDelay)
 }
 
-func (p *proxy) serve(ctx context.Context, near net.Conn) {
-	defer func() { _ = near.Close() }()
-	stop := context.AfterFunc(ctx, func() { _ = near.Close() })
+// serve forwards one connection.
+func (p *proxy) serve(ctx context.Context, client net.Conn) {
+	defer func() { _ = client.Close() }()
+	stop := context.AfterFunc(ctx, func() { _ = client.Close() })
 	defer stop()
-	fault, after, delay := p.draw()
-	if fault == proxySwallows {
-		_, _ = io.Copy(io.Discard, near)
+	fault, after, delay := p.drawFault()
+	if fault == proxyDropsRequest {
+		_, _ = io.Copy(io.Discard, client)
 		return
 	}
-	p.await(directionTo)
-	far, err := net.Dial("tcp", p.target)
+	p.awaitUnblocked(directionRequest)
+	target, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	defer func() { _ = far.Close() }()
-	gone := make(chan struct{})
+	defer func() { _ = target.Close() }()
+	disconnected := make(chan struct{})
 	go func() {
-		defer close(gone)
-		// The server must learn that its caller has gone.
-		_, _ = io.Copy(far, severable{p, directionTo, near})
-		_ = far.Close()
+		defer close(disconnected)
+		// The server must detect that its client has disconnected.
+		_, _ = io.Copy(target, blockableReader{p, directionRequest, client})
+		_ = target.Close()
 	}()
-	answer(near, severable{p, directionBack, far}, fault, after, delay)
-	if fault == proxySilences {
-		<-gone
+	forwardResponse(client, blockableReader{p, directionResponse, target}, fault, after, delay)
+	if fault == proxyDropsResponse {
+		<-disconnected
 	}
 }
 
-// answer passes a server's bytes on as a fault has it.
-func answer(near net.Conn, far io.Reader, fault proxyFault, after int64, delay time.Duration) {
+// forwardResponse forwards the response of a target to a client with a fault.
+func forwardResponse(client net.Conn, target io.Reader, fault proxyFault, after int64, delay time.Duration) {
 	switch fault {
 	case proxyResets:
-		_, _ = io.CopyN(near, far, after)
-		if c, ok := near.(*net.TCPConn); ok {
+		_, _ = io.CopyN(client, target, after)
+		if c, ok := client.(*net.TCPConn); ok {
 			_ = c.SetLinger(0)
 		}
-	case proxySilences:
-		_, _ = io.CopyN(near, far, after)
-		_, _ = io.Copy(io.Discard, far)
+	case proxyDropsResponse:
+		_, _ = io.CopyN(client, target, after)
+		_, _ = io.Copy(io.Discard, target)
 	case proxyDelays:
-		piece := make([]byte, 1<<10)
+		buffer := make([]byte, 1<<10)
 		for {
-			n, err := far.Read(piece)
+			n, err := target.Read(buffer)
 			time.Sleep(delay)
-			if _, werr := near.Write(piece[:n]); err != nil || werr != nil {
+			if _, werr := client.Write(buffer[:n]); err != nil || werr != nil {
 				return
 			}
 		}
 	default:
-		_, _ = io.Copy(near, far)
+		_, _ = io.Copy(client, target)
 	}
 }
--- a/cmd/fennelyard/root.go
+++ b/cmd/fennelyard/root.go
@@ -18,7 +18,7 @@
 	"fennelyard/internal/settings"
 )
 
-// The exit codes of every command.
+// Exit codes of all commands.
 const (
 	exitOK       = 0
 	exitFailed   = 1
@@ -37,7 +37,7 @@
 	errRefused = errors.New("not accepted")
 )
 
-// run executes one command line and returns the exit code.
+// run executes a command line and returns its exit code.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	root := newRoot()
 	root.SetArgs(args)
@@ -84,17 +84,17 @@
 	return root
 }
 
-// newLogger logs JSON lines.
+// newLogger returns a logger that writes JSON lines.
 func newLogger(w io.Writer, verbosity int) logr.Logger {
 	return logr.FromSlogHandler(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: slog.Level(-verbosity)}))
 }
 
-func addOutput(c *cobra.Command, into *string) {
-	c.Flags().StringVarP(into, "output", "o", outputText, "text or json")
+func addOutputFlag(c *cobra.Command, output *string) {
+	c.Flags().StringVarP(output, "output", "o", outputText, "output format: text or json")
 }
 
-// write prints a message as JSON, or else as text by the function given.
-func write(c *cobra.Command, output string, m proto.Message, text func(w io.Writer)) error {
+// writeOutput prints a message in the output format, either as JSON or by calling text.
+func writeOutput(c *cobra.Command, output string, m proto.Message, text func(w io.Writer)) error {
 	switch output {
 	case outputText:
 		text(c.OutOrStdout())
@@ -108,5 +108,5 @@
 		enc.SetIndent("", "  ")
 		return enc.Encode(json.RawMessage(data))
 	}
-	return errors.Newf("--output %q: text or json: %w", output, errUsage)
+	return errors.Newf("--output %q: must be text or json: %w", output, errUsage)
 }
--- a/cmd/fennelyard/serve.go
+++ b/cmd/fennelyard/serve.go
@@ -17,20 +17,20 @@
 	var file string
 	c := &cobra.Command{
 		Use:     "serve --settings FILE",
-		Short:   "Run the roles of one host until it is told to stop",
-		Long:    "serve runs the roles of one host. On SIGTERM or SIGINT it drains: nothing in flight is cut off.",
+		Short:   "Run the roles of one host until it receives a signal to stop",
+		Long:    "serve runs the roles of one host. On SIGTERM or SIGINT it drains without interrupting requests in flight.",
 		Example: "  fennelyard serve --settings /etc/fennelyard/host-1.yaml",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return serve(c, file)
 		},
 	}
-	addSettings(c, &file)
+	addSettingsFlag(c, &file)
 	return c
 }
 
-func addSettings(c *cobra.Command, into *string) {
-	c.Flags().StringVar(into, "settings", "", "settings file of this host")
+func addSettingsFlag(c *cobra.Command, file *string) {
+	c.Flags().StringVar(file, "settings", "", "settings file of this host")
 	if err := c.MarkFlagRequired("settings"); err != nil {
 		panic(err)
 	}
@@ -52,7 +52,7 @@
 	case <-c.Context().Done():
 	case <-h.Failed():
 		h.Close()
-		return errors.Newf("control role ended: %w", h.Err())
+		return errors.Newf("control role failed: %w", h.Err())
 	}
 	log.Info("stopping")
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.Context()), s.GetEntry().GetDrainLimit().AsDuration())
@@ -78,7 +78,7 @@
 			return err
 		},
 	}
-	addSettings(c, &file)
+	addSettingsFlag(c, &file)
 	return c
 }
 
@@ -97,8 +97,8 @@
 			return demo.Run(c.Context(), cfg)
 		},
 	}
-	c.Flags().BoolVar(&harmful, "harmful", false, "show a request that ends the servers that run it")
-	c.Flags().BoolVarP(&verbose, "verbose", "v", false, "log what the hosts do")
+	c.Flags().BoolVar(&harmful, "harmful", false, "demonstrate a request that crashes the servers that run it")
+	c.Flags().BoolVarP(&verbose, "verbose", "v", false, "log the activity of the hosts")
 	return c
 }
 
--- a/cmd/fennelyard/serve_test.go
+++ b/cmd/fennelyard/serve_test.go
@@ -11,42 +11,41 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWholePathByProcesses goes the way of a new operator with real processes:
-// refused intent, plan, confirmation, cold answer, warm answer, a booking sent
-// twice, a planned stop.
-func TestWholePathByProcesses(t *testing.T) {
-	f := newFleet(t, 4, 3)
-	f.startEngine("engine-1")
-	f.startEngine("engine-2", "--checks-fencing=false", "--data-centre", "hall-b")
-	f.startApplication("booking-1")
-	f.awaitServers(3)
+// A new deployment of real processes: a refused intent, a plan and its confirmation, a cold
+// and a warm completion, a booking that is sent twice and runs once, and a planned stop.
+func TestNewDeploymentWithProcesses(t *testing.T) {
+	clus := newCluster(t, 4, 3)
+	clus.startEngine("engine-1")
+	clus.startEngine("engine-2", "--checks-fencing=false", "--data-centre", "hall-b")
+	clus.startApplication("booking-1")
+	clus.awaitServers(3)
 
 	bad := filepath.Join(t.TempDir(), "bad.yaml")
 	require.NoError(t, os.WriteFile(bad, []byte("name: bad\ncustomer: {name: x}\nmodels:\n  - {name: m, version: \"1\", memory-mib: 1, max-replicas: 0}\n"), 0o600))
-	code, _, errOut := command("intent", "apply", "--address", f.layout.Hosts()[0].Operator, "--file", bad, "--operator", "ann")
+	code, _, errOut := runCommand("intent", "apply", "--address", clus.layout.Hosts()[0].Operator, "--file", bad, "--operator", "ann")
 	assert.Equal(t, exitRefused, code)
 	assert.Contains(t, errOut, "max-replicas 0")
 
-	f.configure(2)
-	client := f.client()
-	require.NoError(t, f.complete(client), "cold")
-	require.NoError(t, f.complete(client), "warm")
+	clus.configure(2)
+	client := clus.client()
+	require.NoError(t, clus.requestCompletion(client), "cold")
+	require.NoError(t, clus.requestCompletion(client), "warm")
 	for range 2 {
-		runs, err := f.book(t.Context(), client, "ride-1")
+		runs, err := clus.requestBooking(t.Context(), client, "ride-1")
 		require.NoError(t, err)
 		assert.Equal(t, 1, runs)
 	}
-	code, out, _ := command("status", "--address", f.layout.Hosts()[3].Operator)
+	code, out, _ := runCommand("status", "--address", clus.layout.Hosts()[3].Operator)
 	assert.Equal(t, exitOK, code)
 	assert.Contains(t, out, testModel)
 
-	f.signal("host-4", syscall.SIGTERM)
-	<-f.processes["host-4"].done
-	assert.Zero(t, f.processes["host-4"].cmd.ProcessState.ExitCode())
-	require.NoError(t, f.complete(f.client(0, 1, 2)))
+	clus.sendSignal("host-4", syscall.SIGTERM)
+	<-clus.processes["host-4"].done
+	assert.Zero(t, clus.processes["host-4"].cmd.ProcessState.ExitCode())
+	require.NoError(t, clus.requestCompletion(clus.client(0, 1, 2)))
 }
 
-func TestCommandsSayHowTheyAreUsed(t *testing.T) {
+func TestCommandHelpHasExamples(t *testing.T) {
 	for _, args := range [][]string{
 		{"serve"},
 		{"check"},
@@ -62,15 +61,15 @@
 		{"status"},
 		{"version"},
 	} {
-		code, out, _ := command(append(args, "--help")...)
+		code, out, _ := runCommand(append(args, "--help")...)
 		assert.Equal(t, exitOK, code)
 		assert.Contains(t, out, "Examples:", strings.Join(args, " "))
 	}
 }
 
-// The demo ends with an error when a step does not hold.
+// The demo returns an error when a step has another result than expected.
 func TestDemoOfAHarmfulRequest(t *testing.T) {
-	code, out, errOut := command("demo", "--harmful")
+	code, out, errOut := runCommand("demo", "--harmful")
 	require.Equal(t, exitOK, code, out+errOut)
 	require.Contains(t, out, "and releases it: no host holds it back any more")
 }
@@ -82,7 +81,7 @@
 		name string
 		args []string
 		code int
-		says string
+		want string
 	}{
 		{"unknown flag", []string{"check", "--nothing"}, exitUsage, "unknown flag"},
 		{"faulty settings", []string{"check", "--settings", bad}, exitSettings, "bad.yaml:1: hots: unknown key"},
@@ -92,9 +91,9 @@
 		{"example", []string{"check", "--settings", "../../examples/kapiti/otaki-1.yaml"}, exitOK, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			code, _, errOut := command(c.args...)
+			code, _, errOut := runCommand(c.args...)
 			assert.Equal(t, c.code, code)
-			assert.Contains(t, errOut, c.says)
+			assert.Contains(t, errOut, c.want)
 		})
 	}
 }
--- a/cmd/fennelyard/soak_faults_test.go
+++ b/cmd/fennelyard/soak_faults_test.go
@@ -13,8 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// harm injects one fault after the other; several overlap.
-func (s *soak) harm(r *rand.Rand) {
+// injectFaults injects faults into random hosts until the soak's context ends. Faults of
+// several hosts overlap.
+func (s *soak) injectFaults(r *rand.Rand) {
 	var names []string
 	for i := range soakControls {
 		names = append(names, fmt.Sprint("core-", i))
@@ -25,84 +26,85 @@
 	var wg sync.WaitGroup
 	for s.ctx.Err() == nil {
 		name := names[r.IntN(len(names))]
-		free := s.seize(name)
-		kinds := unproxiedFaults
+		unlock := s.lockHost(name)
+		faults := hostFaultsWithoutProxy
 		if s.proxies[name] != nil {
-			kinds = hostFaults
+			faults = hostFaults
 		}
-		fault, pause := hostFault(r.IntN(int(kinds))), time.Duration(100+r.IntN(1500))*time.Millisecond
+		fault, pause := hostFault(r.IntN(int(faults))), time.Duration(100+r.IntN(1500))*time.Millisecond
 		wg.Go(func() {
-			defer free()
-			s.strike(name, fault, pause)
+			defer unlock()
+			s.injectFault(name, fault, pause)
 		})
 		time.Sleep(time.Duration(100+r.IntN(600)) * time.Millisecond)
 	}
 	wg.Wait()
 }
 
-// hostFault is what is done to a host.
+// hostFault is a fault of a host.
 type hostFault int
 
-// The faults.
+// The faults of hosts.
 const (
 	faultKill hostFault = iota
 	faultStop
 	faultFreeze
 	faultReload
-	// faultCutTo, faultCutBack and faultCut need a proxy before the host: it is cut off in one
-	// direction, the other, or both.
-	faultCutTo
-	faultCutBack
-	faultCut
+	// faultBlockRequests, faultBlockResponses and faultBlockBoth block the peer connections
+	// of a host in one direction, the other, or both. They need a proxy of the host.
+	faultBlockRequests
+	faultBlockResponses
+	faultBlockBoth
 	hostFaults
-	unproxiedFaults = faultCutTo
+	hostFaultsWithoutProxy = faultBlockRequests
 )
 
-func (s *soak) strike(name string, fault hostFault, pause time.Duration) {
-	p := s.fleet.process(name)
+// injectFault injects a fault into a host and recovers the host after a pause.
+func (s *soak) injectFault(name string, fault hostFault, pause time.Duration) {
+	p := s.cluster.process(name)
 	switch fault {
 	case faultKill, faultStop:
 		signal := syscall.SIGKILL
 		if fault == faultStop {
 			signal = syscall.SIGTERM
 		}
-		s.end(p, signal)
+		s.stopProcess(p, signal)
 		time.Sleep(pause)
-		s.start(name, false)
+		s.startHost(name, false)
 	case faultFreeze:
-		s.frozen(name, pause)
+		s.setFrozen(name, pause)
 		_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 		time.Sleep(pause)
-		s.frozen(name, 0)
+		s.setFrozen(name, 0)
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
-	case faultCutTo, faultCutBack, faultCut:
-		if fault != faultCutBack {
-			s.proxies[name].sever(directionTo, pause)
+	case faultBlockRequests, faultBlockResponses, faultBlockBoth:
+		if fault != faultBlockResponses {
+			s.proxies[name].block(directionRequest, pause)
 		}
-		if fault != faultCutTo {
-			s.proxies[name].sever(directionBack, pause)
+		if fault != faultBlockRequests {
+			s.proxies[name].block(directionResponse, pause)
 		}
 		time.Sleep(pause)
 	default:
 		_ = p.cmd.Process.Signal(syscall.SIGHUP)
-		// A process that ends by itself is started again, as the platform does:
-		// nothing can listen for the signal before the program runs.
+		// A process that exits is restarted, as a supervisor does: before the program
+		// runs it cannot catch the signal, which then ends the process.
 		select {
 		case <-p.done:
-			s.start(name, false)
+			s.startHost(name, false)
 		case <-time.After(pause):
 		}
 	}
 }
 
-// end ends a host and waits until its process is gone.
-func (s *soak) end(p *process, signal syscall.Signal) {
+// stopProcess sends a signal that ends a process and waits until it has exited.
+func (s *soak) stopProcess(p *process, signal syscall.Signal) {
 	_ = p.cmd.Process.Signal(signal)
 	<-p.done
 }
 
-// loseDisk has one control host lose its disk with its process, once in a soak: the others
-// have all that was acknowledged, and take the empty one in again.
+// loseDisk kills one control host and removes its data, once in a soak. The others have all
+// that was acknowledged, and the host rejoins them with an empty disk.
 func (s *soak) loseDisk(r *rand.Rand) {
 	name, after := fmt.Sprint("core-", r.IntN(soakControls)), time.Duration(1+r.IntN(4))*time.Second
 	select {
@@ -110,36 +112,36 @@
 		return
 	case <-time.After(after):
 	}
-	defer s.seize(name)()
-	s.end(s.fleet.process(name), syscall.SIGKILL)
+	defer s.lockHost(name)()
+	s.stopProcess(s.cluster.process(name), syscall.SIGKILL)
 	require.NoError(s.t, os.RemoveAll(filepath.Join(s.folder, name)))
-	s.start(name, false)
+	s.startHost(name, false)
 }
 
-// seize waits until nothing else is done to a host, and keeps others from it until the
-// function that it returns is called.
-func (s *soak) seize(name string) (free func()) {
+// lockHost waits until no other fault is in progress at a host and excludes further faults
+// until unlock is called.
+func (s *soak) lockHost(name string) (unlock func()) {
 	s.mu.Lock()
-	busy := s.busy[name]
-	if busy == nil {
-		busy = &sync.Mutex{}
-		s.busy[name] = busy
+	lock := s.hostLocks[name]
+	if lock == nil {
+		lock = &sync.Mutex{}
+		s.hostLocks[name] = lock
 	}
 	s.mu.Unlock()
-	busy.Lock()
-	return busy.Unlock
+	lock.Lock()
+	return lock.Unlock
 }
 
-// proxyControls starts a proxy before each control host.
-func (s *soak) proxyControls() (closed func()) {
-	if !s.severed {
+// startControlProxies starts a proxy in front of each control host, if the soak has them.
+func (s *soak) startControlProxies() (closeProxies func()) {
+	if !s.proxiedControls {
 		return func() {}
 	}
 	for i := range soakControls {
-		l, err := net.Listen("tcp", fmt.Sprintf("%s:%d", s.control(i), s.port))
+		l, err := net.Listen("tcp", fmt.Sprintf("%s:%d", s.controlIP(i), s.port))
 		require.NoError(s.t, err)
-		target := fmt.Sprintf("%s:%d", s.behind(i), s.port)
-		s.proxies[fmt.Sprint("core-", i)] = newProxy(s.alive, s.ctx, l, target, streamBytes, rand.New(rand.NewPCG(s.seed, uint64(500+i))))
+		target := fmt.Sprintf("%s:%d", s.controlListenIP(i), s.port)
+		s.proxies[fmt.Sprint("core-", i)] = newProxy(s.serversCtx, s.ctx, l, target, maxStreamFaultBytes, rand.New(rand.NewPCG(s.seed, uint64(500+i))))
 	}
 	return func() {
 		for _, p := range s.proxies {
--- a/cmd/fennelyard/standin.go
+++ b/cmd/fennelyard/standin.go
@@ -17,14 +17,14 @@
 	entries    []string
 }
 
-func (f *standinFlags) add(c *cobra.Command) {
+func (f *standinFlags) addTo(c *cobra.Command) {
 	c.Flags().StringVar(&f.listen, "listen", "127.0.0.1:0", "address to listen on")
 	c.Flags().StringVar(&f.name, "name", "", "name of the server")
 	c.Flags().StringVar(&f.dataCentre, "data-centre", "hall-a", "data centre of the server")
-	c.Flags().StringSliceVar(&f.entries, "entries", nil, "addresses that take announcements")
+	c.Flags().StringSliceVar(&f.entries, "entries", nil, "backend addresses of the entries, which receive announcements")
 }
 
-func (f *standinFlags) open() (net.Listener, error) {
+func (f *standinFlags) newListener() (net.Listener, error) {
 	l, err := net.Listen("tcp", f.listen)
 	if err != nil {
 		return nil, errors.Newf("listen: %w", err)
@@ -32,13 +32,13 @@
 	return l, nil
 }
 
-// newStandin is hidden: tests run the stand-ins as processes.
+// newStandin returns a hidden command by which tests run the stand-ins as processes.
 func newStandin() *cobra.Command {
 	c := &cobra.Command{
 		Use: "standin", Short: "Run a stand-in for a backend server or the weight store", Hidden: true,
 		Example: "  fennelyard standin engine --name engine-1 --entries 127.0.0.1:7003",
 	}
-	c.AddCommand(newStandinEngine(), newStandinApplication(), newStandinWeights())
+	c.AddCommand(newStandinEngine(), newStandinApplication(), newStandinWeightStore())
 	return c
 }
 
@@ -52,7 +52,7 @@
 		Use: "engine", Short: "Run a model engine without weights", Args: cobra.NoArgs,
 		Example: "  fennelyard standin engine --name engine-1 --entries 127.0.0.1:7003",
 		RunE: func(c *cobra.Command, _ []string) error {
-			l, err := flags.open()
+			l, err := flags.newListener()
 			if err != nil {
 				return err
 			}
@@ -69,12 +69,12 @@
 			return nil
 		},
 	}
-	flags.add(c)
+	flags.addTo(c)
 	c.Flags().StringVar(&weights, "weights", "", "address of the weight store")
-	c.Flags().IntSliceVar(&memory, "accelerator-mib", []int{24576}, "memory of each accelerator")
-	c.Flags().BoolVar(&checks, "checks-fencing", true, "refuse orders with an old fencing number")
+	c.Flags().IntSliceVar(&memory, "accelerator-mib", []int{24576}, "memory of each accelerator in MiB")
+	c.Flags().BoolVar(&checks, "checks-fencing", true, "refuse orders with an old fencing token")
 	c.Flags().DurationVar(&token, "token-time", 5*time.Millisecond, "time for one token")
-	c.Flags().DurationVar(&load, "load-time", 0, "time that every load takes besides")
+	c.Flags().DurationVar(&load, "load-time", 0, "additional time of each load")
 	return c
 }
 
@@ -82,10 +82,10 @@
 	var flags standinFlags
 	var service string
 	c := &cobra.Command{
-		Use: "application", Short: "Run an application server that takes bookings", Args: cobra.NoArgs,
+		Use: "application", Short: "Run an application server that accepts bookings", Args: cobra.NoArgs,
 		Example: "  fennelyard standin application --name booking-1 --service booking-api --entries 127.0.0.1:7003",
 		RunE: func(c *cobra.Command, _ []string) error {
-			l, err := flags.open()
+			l, err := flags.newListener()
 			if err != nil {
 				return err
 			}
@@ -97,19 +97,19 @@
 			return nil
 		},
 	}
-	flags.add(c)
+	flags.addTo(c)
 	c.Flags().StringVar(&service, "service", "booking-api", "service that the server offers")
 	return c
 }
 
-func newStandinWeights() *cobra.Command {
+func newStandinWeightStore() *cobra.Command {
 	var flags standinFlags
 	var rate, loads float64
 	c := &cobra.Command{
 		Use: "weights", Short: "Run a weight store that sends no bytes", Args: cobra.NoArgs,
 		Example: "  fennelyard standin weights --listen 127.0.0.1:7900",
 		RunE: func(c *cobra.Command, _ []string) error {
-			l, err := flags.open()
+			l, err := flags.newListener()
 			if err != nil {
 				return err
 			}
@@ -119,8 +119,8 @@
 			return nil
 		},
 	}
-	flags.add(c)
-	c.Flags().Float64Var(&rate, "mib-per-second", 8192, "read rate of one load")
-	c.Flags().Float64Var(&loads, "loads-per-second", 3, "starts of loads per second")
+	flags.addTo(c)
+	c.Flags().Float64Var(&rate, "mib-per-second", 8192, "read rate of a load")
+	c.Flags().Float64Var(&loads, "loads-per-second", 3, "maximum rate at which loads start")
 	return c
 }
--- a/cmd/fennelyard/status.go
+++ b/cmd/fennelyard/status.go
@@ -10,13 +10,13 @@
 	"fennelyard/internal/schema"
 )
 
-const watchEvery = 2 * time.Second
+const watchInterval = 2 * time.Second
 
 func newStatus() *cobra.Command {
 	var flags operatorFlags
 	var watch bool
 	c := &cobra.Command{
-		Use: "status --address IP:PORT", Short: "Show the whole deployment",
+		Use: "status --address IP:PORT", Short: "Show the state of the whole deployment",
 		Example: "  fennelyard status --address 10.0.0.1:7002 --watch",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -25,19 +25,19 @@
 				if err != nil {
 					return err
 				}
-				if err := write(c, flags.output, s, func(w io.Writer) { writeStatus(w, s) }); err != nil || !watch {
+				if err := writeOutput(c, flags.output, s, func(w io.Writer) { writeStatus(w, s) }); err != nil || !watch {
 					return err
 				}
 				select {
 				case <-c.Context().Done():
 					return nil
-				case <-time.After(watchEvery):
+				case <-time.After(watchInterval):
 				}
 			}
 		},
 	}
-	flags.addRead(c)
-	c.Flags().BoolVar(&watch, "watch", false, "print again every 2 seconds")
+	flags.addReadFlags(c)
+	c.Flags().BoolVar(&watch, "watch", false, "print the state again every 2 seconds")
 	return c
 }
 
@@ -47,7 +47,7 @@
 	if s.GetStale() != "" {
 		_, _ = fmt.Fprintln(w, "STALE:", s.GetStale())
 	}
-	table(w, "\nHOST\tDATA CENTRE\tSTATE\tCONTROL\tLOAD", func(t io.Writer) {
+	writeTable(w, "\nHOST\tDATA CENTRE\tSTATE\tCONTROL\tLOAD", func(t io.Writer) {
 		for _, h := range s.GetHosts() {
 			state := h.GetState()
 			if h.GetStopping() {
@@ -56,13 +56,13 @@
 			_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\n", h.GetName(), h.GetDataCentre(), state, h.GetControl(), h.GetLoad())
 		}
 	})
-	table(w, "\nSERVER\tKIND\tDATA CENTRE\tSTATE\tINCARNATION\tRESERVED MIB", func(t io.Writer) {
+	writeTable(w, "\nSERVER\tKIND\tDATA CENTRE\tSTATE\tINCARNATION\tRESERVED MIB", func(t io.Writer) {
 		for _, x := range s.GetServers() {
 			_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d of %d\n", x.GetName(), x.GetKind(), x.GetDataCentre(),
 				x.GetState(), x.GetIncarnation(), x.GetReservedMib(), x.GetTotalMib())
 		}
 	})
-	table(w, "\nMODEL\tLOADED\tLOADING\tUNLOADING\tBOUNDS", func(t io.Writer) {
+	writeTable(w, "\nMODEL\tLOADED\tLOADING\tUNLOADING\tBOUNDS", func(t io.Writer) {
 		for _, m := range s.GetModels() {
 			_, _ = fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d-%d\n", m.GetName(), m.GetLoaded(), m.GetLoading(), m.GetUnloading(),
 				m.GetMinReplicas(), m.GetMaxReplicas())
