--- a/cmd/fennelyard/measure.go
+++ b/cmd/fennelyard/measure.go
@@ -39,7 +39,7 @@
 			writeTable(c.OutOrStdout(), "MEASURED\tPER\tSLOPE\tERROR\tBASE\tUNIT\tCARRIED BY", func(t io.Writer) {
 				for _, s := range slopes {
 					x, y := s.Units()
-					_, _ = fmt.Fprintf(t, "%s\t%s\t%.4g\t%.2g\t%.4g\t%s\t%s\n", s.Name(), x, s.PerUnit(), s.Error(), s.Base(), y, s.Mechanism())
+					_, _ = fmt.Fprintf(t, "%s\t%s\t%.4g\t%.2g\t%.4g\t%s\t%s\n", s.Name(), x, s.PerUnit(), s.Error(), s.Intercept(), y, s.Component())
 				}
 			})
 			return nil
@@ -65,7 +65,7 @@
 	for _, s := range slopes {
 		x, y := s.Units()
 		xs, ys := s.Points()
-		out = append(out, line{s.Name(), x, y, s.PerUnit(), s.Error(), s.Base(), xs, ys, s.Mechanism()})
+		out = append(out, line{s.Name(), x, y, s.PerUnit(), s.Error(), s.Intercept(), xs, ys, s.Component()})
 	}
 	enc := json.NewEncoder(c.OutOrStdout())
 	enc.SetIndent("", "  ")
--- a/internal/measure/capacity.go
+++ b/internal/measure/capacity.go
@@ -18,81 +18,83 @@
 	"fennelyard/internal/schema"
 )
 
-// probe measures one value at several sizes.
-type probe struct {
-	slope Slope
-	sizes []int
-	at    func(size int) (float64, error)
+// measurement measures a value at several sizes.
+type measurement struct {
+	slope   Slope
+	sizes   []int
+	measure func(size int) (float64, error)
 }
 
-// Capacity measures every slope and calls step before each of them.
+// Capacity runs all measurements and returns their slopes. It calls step before each
+// measurement.
 func Capacity(step func(name string)) ([]Slope, error) {
 	var out []Slope
-	for _, p := range probes() {
-		step(p.slope.name)
-		for _, size := range p.sizes {
-			y, err := p.at(size)
+	for _, m := range measurements() {
+		step(m.slope.name)
+		for _, size := range m.sizes {
+			y, err := m.measure(size)
 			if err != nil {
-				return nil, errors.Newf("%s at %d: %w", p.slope.name, size, err)
+				return nil, errors.Newf("measure %s at size %d: %w", m.slope.name, size, err)
 			}
-			p.slope.xs = append(p.slope.xs, float64(size))
-			p.slope.ys = append(p.slope.ys, y)
+			m.slope.xs = append(m.slope.xs, float64(size))
+			m.slope.ys = append(m.slope.ys, y)
 		}
-		out = append(out, p.slope.fit())
+		out = append(out, m.slope.fit())
 	}
 	return out, nil
 }
 
-func probes() []probe {
+func measurements() []measurement {
 	records := []int{1000, 4000, 8000, 15000}
 	hosts := []int{8, 16, 32, 64, 128}
-	return []probe{
-		{Slope{name: "ledger heap", xUnit: "model or adapter", yUnit: "B", mechanism: "ledger"}, records, ledgerHeap},
-		{Slope{name: "replica heap", xUnit: "model or adapter", yUnit: "B", mechanism: "ledger.Replica"}, records, replicaHeap},
-		{Slope{name: "whole state on the wire", xUnit: "model or adapter", yUnit: "B", mechanism: "watch"}, records, wholeBytes},
-		{Slope{name: "whole state, compressed", xUnit: "model or adapter", yUnit: "B", mechanism: "watch"}, records, wholeCompressed},
-		{Slope{name: "taking the whole state", xUnit: "model or adapter", yUnit: "µs", mechanism: "ledger.Replica"}, records, replicaApply},
-		{Slope{name: "one change on the wire", xUnit: "change", yUnit: "B", mechanism: "watch"}, []int{1, 4, 16, 64}, changeBytes},
-		{Slope{name: "one change taken by an entry", xUnit: "change", yUnit: "µs", mechanism: "watch"}, []int{100, 400, 1600}, changeTime},
-		{Slope{name: "one claim in the state", xUnit: "claim", yUnit: "B", mechanism: "ledger claims"}, []int{1000, 4000, 16000}, claimHeap},
-		{Slope{name: "one claim applied", xUnit: "claim", yUnit: "µs", mechanism: "ledger claims"}, []int{1000, 4000, 16000}, claimTime},
-		{Slope{name: "heartbeat bytes sent by a host", xUnit: "host", yUnit: "B/s", mechanism: "membership"}, hosts, heartbeatBytes},
-		{Slope{name: "heartbeat processor time of a host", xUnit: "host", yUnit: "µs/s", mechanism: "membership"}, hosts, heartbeatTime},
-		{Slope{name: "quiet report of an entry", xUnit: "server", yUnit: "B", mechanism: "report"}, []int{5, 20, 80, 320}, quietReport},
-		{Slope{name: "full announcement", xUnit: "cached checkpoint", yUnit: "B", mechanism: "report"}, []int{1, 10, 100}, fullAnnouncement},
-		{Slope{name: "decision, by servers", xUnit: "server", yUnit: "µs", mechanism: "placement"}, []int{100, 300, 600, 1200}, decisionByServers},
-		{Slope{name: "decision, by waiting models", xUnit: "waiting model", yUnit: "µs", mechanism: "placement"}, []int{1, 5, 20, 50}, decisionByDemands},
+	return []measurement{
+		{Slope{name: "ledger heap", xUnit: "model or adapter", yUnit: "B", component: "ledger"}, records, ledgerHeapBytes},
+		{Slope{name: "replica heap", xUnit: "model or adapter", yUnit: "B", component: "ledger.Replica"}, records, replicaHeapBytes},
+		{Slope{name: "whole state on the wire", xUnit: "model or adapter", yUnit: "B", component: "watch"}, records, fullStateBytes},
+		{Slope{name: "whole state, compressed", xUnit: "model or adapter", yUnit: "B", component: "watch"}, records, fullStateCompressedBytes},
+		{Slope{name: "taking the whole state", xUnit: "model or adapter", yUnit: "µs", component: "ledger.Replica"}, records, replicaApplyTime},
+		{Slope{name: "one change on the wire", xUnit: "change", yUnit: "B", component: "watch"}, []int{1, 4, 16, 64}, changeBytes},
+		{Slope{name: "one change taken by an entry", xUnit: "change", yUnit: "µs", component: "watch"}, []int{100, 400, 1600}, changeTime},
+		{Slope{name: "one claim in the state", xUnit: "claim", yUnit: "B", component: "ledger claims"}, []int{1000, 4000, 16000}, claimHeapBytes},
+		{Slope{name: "one claim applied", xUnit: "claim", yUnit: "µs", component: "ledger claims"}, []int{1000, 4000, 16000}, claimTime},
+		{Slope{name: "heartbeat bytes sent by a host", xUnit: "host", yUnit: "B/s", component: "membership"}, hosts, heartbeatBytes},
+		{Slope{name: "heartbeat processor time of a host", xUnit: "host", yUnit: "µs/s", component: "membership"}, hosts, heartbeatTime},
+		{Slope{name: "quiet report of an entry", xUnit: "server", yUnit: "B", component: "report"}, []int{5, 20, 80, 320}, unchangedReportBytes},
+		{Slope{name: "full announcement", xUnit: "cached checkpoint", yUnit: "B", component: "report"}, []int{1, 10, 100}, announcementBytes},
+		{Slope{name: "decision, by servers", xUnit: "server", yUnit: "µs", component: "placement"}, []int{100, 300, 600, 1200}, decisionByServers},
+		{Slope{name: "decision, by waiting models", xUnit: "waiting model", yUnit: "µs", component: "placement"}, []int{1, 5, 20, 50}, decisionByDemands},
 	}
 }
 
-const fullModels = 100
+// maxBaseModels is the number of models in a filled ledger; further targets are adapters.
+const maxBaseModels = 100
 
-// filledLedger holds models and adapters in force.
-func filledLedger(size int) (*ledger.Ledger, error) {
+// newFilledLedger returns a ledger with a number of configured models and adapters.
+func newFilledLedger(size int) (*ledger.Ledger, error) {
 	l := ledger.New()
 	in := &schema.Intent{Name: "full", Customer: &schema.CustomerIntent{Name: "customer"}}
-	for i := range min(size, fullModels) {
+	for i := range min(size, maxBaseModels) {
 		in.Models = append(in.Models, &schema.ModelIntent{
 			Name: fmt.Sprintf("model-%03d", i), Version: "1", MemoryMib: 16384, MaxReplicas: 4,
 		})
 	}
-	for i := range max(size-fullModels, 0) {
+	for i := range max(size-maxBaseModels, 0) {
 		in.Adapters = append(in.Adapters, &schema.AdapterIntent{
-			Name: fmt.Sprintf("adapter-%05d", i), Base: fmt.Sprintf("model-%03d", i%fullModels),
+			Name: fmt.Sprintf("adapter-%05d", i), Base: fmt.Sprintf("model-%03d", i%maxBaseModels),
 			Version: "1", MemoryMib: 128, MaxReplicas: 2,
 		})
 	}
-	r, err := apply(l, 1, &schema.Command{Id: "1", Body: &schema.Command_ApplyIntent{ApplyIntent: &schema.ApplyIntent{Intent: in}}})
+	r, err := applyCommand(l, 1, &schema.Command{Id: "1", Body: &schema.Command_ApplyIntent{ApplyIntent: &schema.ApplyIntent{Intent: in}}})
 	if err != nil {
 		return nil, err
 	}
-	_, err = apply(l, 2, &schema.Command{Id: "2", Body: &schema.Command_DecidePlan{
+	_, err = applyCommand(l, 2, &schema.Command{Id: "2", Body: &schema.Command_DecidePlan{
 		DecidePlan: &schema.DecidePlan{Plan: r.GetPlan().GetNumber(), Confirm: true},
 	}})
 	return l, err
 }
 
-func apply(l *ledger.Ledger, index uint64, cmd *schema.Command) (*schema.Result, error) {
+func applyCommand(l *ledger.Ledger, index uint64, cmd *schema.Command) (*schema.Result, error) {
 	data, err := proto.Marshal(cmd)
 	if err != nil {
 		return nil, errors.Newf("encode command: %w", err)
@@ -104,9 +106,9 @@
 	return r, nil
 }
 
-func ledgerHeap(size int) (float64, error) {
+func ledgerHeapBytes(size int) (float64, error) {
 	before := heapBytes()
-	l, err := filledLedger(size)
+	l, err := newFilledLedger(size)
 	if err != nil {
 		return 0, err
 	}
@@ -115,23 +117,24 @@
 	return used, nil
 }
 
-func whole(size int) (*schema.Changes, error) {
-	l, err := filledLedger(size)
+// fullState returns the changes that an entry without any state receives, which exclude plans.
+func fullState(size int) (*schema.Changes, error) {
+	l, err := newFilledLedger(size)
 	if err != nil {
 		return nil, err
 	}
 	all := l.Since(0)
-	kept := &schema.Changes{Revision: all.GetRevision(), Whole: true}
+	changes := &schema.Changes{Revision: all.GetRevision(), Whole: true}
 	for _, rec := range all.GetRecords() {
 		if rec.GetPlan() == nil {
-			kept.Records = append(kept.Records, rec)
+			changes.Records = append(changes.Records, rec)
 		}
 	}
-	return kept, nil
+	return changes, nil
 }
 
-func wholeEncoded(size int) ([]byte, error) {
-	changes, err := whole(size)
+func encodedFullState(size int) ([]byte, error) {
+	changes, err := fullState(size)
 	if err != nil {
 		return nil, err
 	}
@@ -142,32 +145,32 @@
 	return data, nil
 }
 
-func replicaHeap(size int) (float64, error) {
-	data, err := wholeEncoded(size)
+func replicaHeapBytes(size int) (float64, error) {
+	data, err := encodedFullState(size)
 	if err != nil {
 		return 0, err
 	}
 	before := heapBytes()
-	own := &schema.Changes{}
-	if err := proto.Unmarshal(data, own); err != nil {
+	decoded := &schema.Changes{}
+	if err := proto.Unmarshal(data, decoded); err != nil {
 		return 0, errors.Newf("decode state: %w", err)
 	}
 	r := ledger.NewReplica()
-	r.Apply(own)
-	own = nil
+	r.Apply(decoded)
+	decoded = nil
 	used := heapBytes() - before
 	runtime.KeepAlive(r)
 	runtime.KeepAlive(data)
 	return used, nil
 }
 
-func wholeBytes(size int) (float64, error) {
-	changes, err := whole(size)
+func fullStateBytes(size int) (float64, error) {
+	changes, err := fullState(size)
 	return float64(proto.Size(changes)), err
 }
 
-func wholeCompressed(size int) (float64, error) {
-	data, err := wholeEncoded(size)
+func fullStateCompressedBytes(size int) (float64, error) {
+	data, err := encodedFullState(size)
 	if err != nil {
 		return 0, err
 	}
@@ -182,30 +185,30 @@
 	return float64(b.Len()), nil
 }
 
-func replicaApply(size int) (float64, error) {
-	changes, err := whole(size)
+func replicaApplyTime(size int) (float64, error) {
+	changes, err := fullState(size)
 	if err != nil {
 		return 0, err
 	}
-	const times = 5
-	began := cpuTime()
-	for range times {
+	const repetitions = 5
+	start := cpuTime()
+	for range repetitions {
 		ledger.NewReplica().Apply(changes)
 	}
-	return micros(cpuTime()-began) / times, nil
+	return microseconds(cpuTime()-start) / repetitions, nil
 }
 
-func micros(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
+func microseconds(d time.Duration) float64 { return float64(d) / float64(time.Microsecond) }
 
-// changedModels moves one reservation's worth of state per change: the kind of
-// change that happens most often.
-func changedModels(n int) (*ledger.Ledger, error) {
-	l, err := filledLedger(1000)
+// ledgerWithChanges returns a filled ledger with n further changes. Each changes about as
+// much state as a reservation, which is the most frequent change.
+func ledgerWithChanges(n int) (*ledger.Ledger, error) {
+	l, err := newFilledLedger(1000)
 	if err != nil {
 		return nil, err
 	}
 	for i := range n {
-		_, err := apply(l, uint64(3+i), &schema.Command{Body: &schema.Command_PutServer{PutServer: &schema.PutServer{
+		_, err := applyCommand(l, uint64(3+i), &schema.Command{Body: &schema.Command_PutServer{PutServer: &schema.PutServer{
 			Server: &schema.Server{
 				Name: fmt.Sprintf("engine-%04d", i), Incarnation: 1790000000000000000, Kind: schema.ServerKind_SERVER_KIND_ENGINE,
 				Address: "10.20.30.40:8000", DataCentre: "hall-a", AcceleratorMib: []uint64{81920, 81920},
@@ -219,7 +222,7 @@
 }
 
 func changeBytes(n int) (float64, error) {
-	l, err := changedModels(n)
+	l, err := ledgerWithChanges(n)
 	if err != nil {
 		return 0, err
 	}
@@ -227,7 +230,7 @@
 }
 
 func changeTime(n int) (float64, error) {
-	l, err := changedModels(n)
+	l, err := ledgerWithChanges(n)
 	if err != nil {
 		return 0, err
 	}
@@ -235,21 +238,21 @@
 	if err != nil {
 		return 0, errors.Newf("encode changes: %w", err)
 	}
-	const times = 20
-	began := cpuTime()
-	for range times {
+	const repetitions = 20
+	start := cpuTime()
+	for range repetitions {
 		c := &schema.Changes{}
 		if err := proto.Unmarshal(data, c); err != nil {
 			return 0, errors.Newf("decode changes: %w", err)
 		}
 		ledger.NewReplica().Apply(c)
 	}
-	return micros(cpuTime()-began) / times, nil
+	return microseconds(cpuTime()-start) / repetitions, nil
 }
 
-func claims(l *ledger.Ledger, n int) error {
+func applyClaims(l *ledger.Ledger, n int) error {
 	for i := range n {
-		_, err := apply(l, uint64(i+1), &schema.Command{AtMs: 1, Body: &schema.Command_ClaimRequest{ClaimRequest: &schema.ClaimRequest{
+		_, err := applyCommand(l, uint64(i+1), &schema.Command{AtMs: 1, Body: &schema.Command_ClaimRequest{ClaimRequest: &schema.ClaimRequest{
 			Customer: "customer", Key: fmt.Sprintf("ride-%032d", i), Digest: make([]byte, 32), Entry: "entry-a1",
 			EntryIncarnation: 1790000000000000000, DeadlineMs: 1790000000000, Attempt: uint64(i) << 32,
 		}}})
@@ -260,10 +263,10 @@
 	return nil
 }
 
-func claimHeap(n int) (float64, error) {
+func claimHeapBytes(n int) (float64, error) {
 	before := heapBytes()
 	l := ledger.New()
-	if err := claims(l, n); err != nil {
+	if err := applyClaims(l, n); err != nil {
 		return 0, err
 	}
 	used := heapBytes() - before
@@ -272,15 +275,15 @@
 }
 
 func claimTime(n int) (float64, error) {
-	began := cpuTime()
-	err := claims(ledger.New(), n)
-	return micros(cpuTime() - began), err
+	start := cpuTime()
+	err := applyClaims(ledger.New(), n)
+	return microseconds(cpuTime() - start), err
 }
 
-// heartbeats runs hosts for some seconds of simulated time without loss and
-// returns the bytes and the processor time per host and second. Headers of IP
-// and UDP are counted.
-func heartbeats(hosts int) (bytesPerSecond, microsPerSecond float64, err error) {
+// simulateHeartbeats runs the membership lists of hosts for some seconds of simulated time
+// without packet loss. It returns the bytes sent, including IP and UDP headers, and the
+// processor time in microseconds, both per host and second.
+func simulateHeartbeats(hosts int) (bytesPerSecond, microsPerSecond float64, err error) {
 	const (
 		seconds    = 20
 		tick       = 50 * time.Millisecond
@@ -296,7 +299,7 @@
 		lists[n] = membership.NewList(membership.Config{Self: n, Incarnation: 1790000000000000000, Hosts: names, Random: random.Intn})
 	}
 	now := time.Unix(1_790_000_000, 0)
-	total := 0
+	bytesSent := 0
 	var deliver func(sends []membership.Datagram) error
 	deliver = func(sends []membership.Datagram) error {
 		for _, s := range sends {
@@ -304,7 +307,7 @@
 			if err != nil {
 				return errors.Newf("encode probe: %w", err)
 			}
-			total += len(data) + headerSize
+			bytesSent += len(data) + headerSize
 			p := &schema.Probe{}
 			if err := proto.Unmarshal(data, p); err != nil {
 				return errors.Newf("decode probe: %w", err)
@@ -325,26 +328,26 @@
 		}
 		return nil
 	}
-	// The first minutes spread who is there.
+	// In the first minutes the hosts disseminate the membership, which is not measured.
 	if err := run(2 * time.Minute); err != nil {
 		return 0, 0, err
 	}
-	total = 0
-	began := cpuTime()
+	bytesSent = 0
+	start := cpuTime()
 	if err := run(seconds * time.Second); err != nil {
 		return 0, 0, err
 	}
-	per := float64(hosts * seconds)
-	return float64(total) / per, micros(cpuTime()-began) / per, nil
+	hostSeconds := float64(hosts * seconds)
+	return float64(bytesSent) / hostSeconds, microseconds(cpuTime()-start) / hostSeconds, nil
 }
 
 func heartbeatBytes(hosts int) (float64, error) {
-	b, _, err := heartbeats(hosts)
+	b, _, err := simulateHeartbeats(hosts)
 	return b, err
 }
 
 func heartbeatTime(hosts int) (float64, error) {
-	_, t, err := heartbeats(hosts)
+	_, t, err := simulateHeartbeats(hosts)
 	return t, err
 }
 
@@ -361,9 +364,9 @@
 	return a
 }
 
-// quietReport is the size of a report in which every server only gives a sign
-// of life.
-func quietReport(servers int) (float64, error) {
+// unchangedReportBytes returns the size of a report in which the announcement of every server
+// is unchanged except for its sequence number.
+func unchangedReportBytes(servers int) (float64, error) {
 	h := backend.NewRegistry()
 	now := time.Unix(1_790_000_000, 0)
 	for i := range servers {
@@ -378,12 +381,13 @@
 	return float64(proto.Size(&schema.Report{Group: 1, Entry: "entry-a1", EntryIncarnation: 1790000000000000000, Announcements: h.Unreported(now)})), nil
 }
 
-func fullAnnouncement(cached int) (float64, error) {
+func announcementBytes(cached int) (float64, error) {
 	return float64(proto.Size(announcement(1, cached))), nil
 }
 
-// Region returns the placement input of a region with a number of engines and
-// waiting models, two loaded models on each engine, and 15,100 configured ones.
+// Region returns the placement input of a region with a number of engines and of models
+// with waiting requests. Each engine has two loaded models, and 15,100 models are
+// configured.
 func Region(servers, demands int) placement.Input {
 	now := time.Unix(1_790_000_000, 0)
 	in := placement.Input{
@@ -419,16 +423,17 @@
 	return in
 }
 
-func decide(in placement.Input) float64 {
-	const times = 20
+// decisionTime returns the processor time of a placement decision in microseconds.
+func decisionTime(in placement.Input) float64 {
+	const repetitions = 20
 	placement.Decide(in)
-	began := cpuTime()
-	for range times {
+	start := cpuTime()
+	for range repetitions {
 		placement.Decide(in)
 	}
-	return micros(cpuTime()-began) / times
+	return microseconds(cpuTime()-start) / repetitions
 }
 
-func decisionByServers(servers int) (float64, error) { return decide(Region(servers, 5)), nil }
+func decisionByServers(servers int) (float64, error) { return decisionTime(Region(servers, 5)), nil }
 
-func decisionByDemands(demands int) (float64, error) { return decide(Region(1200, demands)), nil }
+func decisionByDemands(demands int) (float64, error) { return decisionTime(Region(1200, demands)), nil }
--- a/internal/measure/routing.go
+++ b/internal/measure/routing.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	routedServers  = 20
-	routedRequests = 200000
-	// utilization of the servers by the offered work.
+	serverCount  = 20
+	requestCount = 200000
+	// utilization is the ratio of the offered work to the capacity of the servers.
 	utilization = 0.75
 	meanCost    = time.Second
 )
 
-// RoutingResult is how long requests waited under one way to choose a server.
+// RoutingResult holds percentiles of the time in seconds that requests waited under a
+// load-balancing policy.
 type RoutingResult struct {
 	Policy string  `json:"policy"`
 	P50    float64 `json:"wait-p50"`
@@ -27,32 +28,33 @@
 	P99    float64 `json:"wait-p99"`
 }
 
-// view is what one entry knows of one server: its own requests there.
-type view struct {
-	outstanding int
-	work        float64
+// serverView is the state of a server as observed by one entry: the entry's own requests
+// there.
+type serverView struct {
+	outstanding   int
+	estimatedWork float64
 }
 
-type routed struct {
+type simulatedRequest struct {
 	size int
 	cost float64
 }
 
-// similar estimates a request's cost as that of the known request with the most
-// similar size: the idea of the paper RadarScanner@Cloud, whose load balancer
-// sends to the server with the least sum of estimated costs.
-type similar struct {
-	// known holds the last cost seen in each class of sizes.
-	known map[int]float64
+// costEstimator estimates the cost of a request as that of the completed request with the
+// most similar size. The idea is from the paper RadarScanner@Cloud, whose load balancer
+// selects the server with the least sum of estimated costs.
+type costEstimator struct {
+	// costBySizeClass is the last observed cost in each size class.
+	costBySizeClass map[int]float64
 }
 
-func classOfSize(size int) int { return int(math.Log2(float64(size)) * 2) }
+func sizeClass(size int) int { return int(math.Log2(float64(size)) * 2) }
 
-func (s *similar) estimate(size int) float64 {
-	c := classOfSize(size)
+func (s *costEstimator) estimate(size int) float64 {
+	c := sizeClass(size)
 	for distance := range 64 {
-		for _, near := range []int{c - distance, c + distance} {
-			if cost, ok := s.known[near]; ok {
+		for _, class := range []int{c - distance, c + distance} {
+			if cost, ok := s.costBySizeClass[class]; ok {
 				return cost
 			}
 		}
@@ -61,97 +63,99 @@
 }
 
 type departure struct {
-	at     float64
-	entry  int
-	server int
-	r      routed
-	held   float64
+	departsAt     float64
+	entry         int
+	server        int
+	request       simulatedRequest
+	estimatedCost float64
 }
 
-type departures []departure
+type departureHeap []departure
 
-func (d departures) Len() int           { return len(d) }
-func (d departures) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d departures) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *departures) Push(x any)        { *d = append(*d, x.(departure)) }
-func (d *departures) Pop() any {
+func (d departureHeap) Len() int           { return len(d) }
+func (d departureHeap) Less(i, j int) bool { return d[i].departsAt < d[j].departsAt }
+func (d departureHeap) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
+func (d *departureHeap) Push(x any)        { *d = append(*d, x.(departure)) }
+func (d *departureHeap) Pop() any {
 	old := *d
 	x := old[len(old)-1]
 	*d = old[:len(old)-1]
 	return x
 }
 
-// Routing sends requests of very different cost to servers that work on one at
-// a time and returns the waits under each way to choose. The size of a request,
-// which an entry sees, explains its cost up to a factor of noise.
-// Each entry sees only its own requests.
+// Routing simulates requests of very different cost to servers that process one request at
+// a time, and returns the waiting times under each load-balancing policy. The size of a
+// request, which its entry observes, determines its cost up to a log-normal noise factor.
+// Each entry observes only its own requests.
 func Routing(seed int64, noise float64, entries int) []RoutingResult {
 	var out []RoutingResult
 	for _, p := range []routing.Policy{
 		routing.PolicyRandom, routing.PolicyRoundRobin, routing.PolicyLeastOutstanding, routing.PolicyWeighted,
 	} {
-		out = append(out, route(p.String(), seed, noise, entries, func(c []view, turn uint64, random *rand.Rand) int {
+		out = append(out, simulateRouting(p.String(), seed, noise, entries, func(c []serverView, turn uint64, random *rand.Rand) int {
 			candidates := make([]routing.Candidate, len(c))
 			for i := range c {
 				candidates[i] = routing.Candidate{SameDataCentre: true, Outstanding: c[i].outstanding}
 			}
-			return routing.Choose(p, candidates, routedRequests, turn, random.Intn)
+			return routing.Choose(p, candidates, requestCount, turn, random.Intn)
 		}))
 	}
-	return append(out, route("SumOfEstimatedCosts", seed, noise, entries, leastWork))
+	return append(out, simulateRouting("SumOfEstimatedCosts", seed, noise, entries, leastEstimatedWork))
 }
 
-// leastWork chooses the least sum of estimated costs, at random among equals.
-func leastWork(c []view, _ uint64, random *rand.Rand) int {
+// leastEstimatedWork chooses the server with the least sum of estimated costs. The search
+// starts at a random server, so that equal sums do not always yield the first one.
+func leastEstimatedWork(c []serverView, _ uint64, random *rand.Rand) int {
 	best := random.Intn(len(c))
 	for i := range c {
-		if c[i].work < c[best].work {
+		if c[i].estimatedWork < c[best].estimatedWork {
 			best = i
 		}
 	}
 	return best
 }
 
-func route(name string, seed int64, noise float64, entries int,
-	choose func(c []view, turn uint64, random *rand.Rand) int,
+// simulateRouting runs the simulation under one policy.
+func simulateRouting(name string, seed int64, noise float64, entries int,
+	choose func(c []serverView, turn uint64, random *rand.Rand) int,
 ) RoutingResult {
 	random := rand.New(rand.NewSource(seed))
 	waits := hdrhistogram.New(1, 3_600_000, 3)
-	views := make([][]view, entries)
+	views := make([][]serverView, entries)
 	for e := range views {
-		views[e] = make([]view, routedServers)
+		views[e] = make([]serverView, serverCount)
 	}
-	free := make([]float64, routedServers)
-	estimates := &similar{known: map[int]float64{}}
-	var leaving departures
+	freeAt := make([]float64, serverCount)
+	estimator := &costEstimator{costBySizeClass: map[int]float64{}}
+	var departures departureHeap
 	now := 0.0
-	for turn := range uint64(routedRequests) {
-		now += random.ExpFloat64() * meanCost.Seconds() / (routedServers * utilization)
-		for len(leaving) > 0 && leaving[0].at <= now {
-			d := heap.Pop(&leaving).(departure)
+	for turn := range uint64(requestCount) {
+		now += random.ExpFloat64() * meanCost.Seconds() / (serverCount * utilization)
+		for len(departures) > 0 && departures[0].departsAt <= now {
+			d := heap.Pop(&departures).(departure)
 			views[d.entry][d.server].outstanding--
-			views[d.entry][d.server].work -= d.held
-			estimates.known[classOfSize(d.r.size)] = d.r.cost
+			views[d.entry][d.server].estimatedWork -= d.estimatedCost
+			estimator.costBySizeClass[sizeClass(d.request.size)] = d.request.cost
 		}
-		r := draw(random, noise)
+		r := randomRequest(random, noise)
 		entry := random.Intn(entries)
 		i := choose(views[entry], turn, random)
-		start := max(now, free[i])
+		start := max(now, freeAt[i])
 		_ = waits.RecordValue(int64((start - now) * 1000))
-		free[i] = start + r.cost
-		estimate := estimates.estimate(r.size)
+		freeAt[i] = start + r.cost
+		estimate := estimator.estimate(r.size)
 		views[entry][i].outstanding++
-		views[entry][i].work += estimate
-		heap.Push(&leaving, departure{free[i], entry, i, r, estimate})
+		views[entry][i].estimatedWork += estimate
+		heap.Push(&departures, departure{freeAt[i], entry, i, r, estimate})
 	}
-	at := func(p float64) float64 { return float64(waits.ValueAtPercentile(p)) / 1000 }
-	return RoutingResult{Policy: name, P50: at(50), P95: at(95), P99: at(99)}
+	percentile := func(p float64) float64 { return float64(waits.ValueAtPercentile(p)) / 1000 }
+	return RoutingResult{Policy: name, P50: percentile(50), P95: percentile(95), P99: percentile(99)}
 }
 
-// draw makes a request: sizes are log-normal, the cost follows the size.
-func draw(random *rand.Rand, noise float64) routed {
+// randomRequest returns a request with a log-normal size and a cost that depends on it.
+func randomRequest(random *rand.Rand, noise float64) simulatedRequest {
 	const spread = 1.0
 	size := math.Exp(random.NormFloat64() * spread)
 	cost := size / math.Exp(spread*spread/2) * math.Exp(random.NormFloat64()*noise-noise*noise/2)
-	return routed{size: int(size*1000) + 1, cost: cost * meanCost.Seconds()}
+	return simulatedRequest{size: int(size*1000) + 1, cost: cost * meanCost.Seconds()}
 }
