--- a/cmd/fennelyard/policy.go
+++ b/cmd/fennelyard/policy.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	summaries := replay.Summarize(replayAll(scenarios, f.seeds, replay.All(), func(done, all int) {
+	summaries := replay.Summarize(replayAll(scenarios, f.seeds, replay.AllPolicies(), func(done, all int) {
 		_, _ = fmt.Fprintf(c.ErrOrStderr(), "replayed %d of %d\n", done, all)
 	}))
 	if f.plot != "" {
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -11,33 +11,33 @@
 	"fennelyard/internal/replay"
 )
 
-// twoDays is a short replay for tests.
-func twoDays() replay.Scenario {
+// shortScenario returns a scenario of two days that is replayed quickly.
+func shortScenario() replay.Scenario {
 	s := replay.QuillenRidge.Generate(7, 2)
 	s.WarmUp = 24 * time.Hour
-	// Some of the models are enough here; arrivals of others are passed over.
+	// Arrivals for the other models are ignored.
 	s.Models = s.Models[:20]
 	s.Servers = s.Servers[:6]
 	return s
 }
 
 func TestSameSeedGivesTheSameResult(t *testing.T) {
-	a := replay.Run(twoDays(), 7, replay.Ours("ours", 1))
-	b := replay.Run(twoDays(), 7, replay.Ours("ours", 1))
+	a := replay.Run(shortScenario(), 7, replay.CostBased("ours", 1))
+	b := replay.Run(shortScenario(), 7, replay.CostBased("ours", 1))
 	assert.Equal(t, replay.Summarize([]replay.Result{a}), replay.Summarize([]replay.Result{b}))
 	assert.Positive(t, a.Visits())
 }
 
-// TestExtremesBoundThePolicy: keeping everything idles most and waits least,
-// keeping nothing the other way round.
+// The policy that never unloads has the most idle time and the one that unloads immediately
+// the longest cold starts. The cost-based policy must lie between them.
 func TestExtremesBoundThePolicy(t *testing.T) {
-	s := twoDays()
-	never := replay.Run(s, 7, replay.Fixed("never", 1000*time.Hour))
-	once := replay.Run(s, 7, replay.Fixed("at once", 0))
-	ours := replay.Run(s, 7, replay.Ours("ours", 1))
-	assert.Less(t, ours.IdleHours(), never.IdleHours())
-	assert.Greater(t, ours.IdleHours(), once.IdleHours())
-	assert.Less(t, ours.MeanColdStart(), once.MeanColdStart())
+	s := shortScenario()
+	neverUnload := replay.Run(s, 7, replay.FixedTimeout("never", 1000*time.Hour))
+	unloadAtOnce := replay.Run(s, 7, replay.FixedTimeout("at once", 0))
+	costBased := replay.Run(s, 7, replay.CostBased("ours", 1))
+	assert.Less(t, costBased.IdleHours(), neverUnload.IdleHours())
+	assert.Greater(t, costBased.IdleHours(), unloadAtOnce.IdleHours())
+	assert.Less(t, costBased.MeanColdStart(), unloadAtOnce.MeanColdStart())
 }
 
 func TestRecordedArrivals(t *testing.T) {
@@ -51,6 +51,6 @@
 func BenchmarkReplayDay(b *testing.B) {
 	s := replay.QuillenRidge.Generate(7, 1)
 	for b.Loop() {
-		replay.Run(s, 7, replay.Ours("ours", 1))
+		replay.Run(s, 7, replay.CostBased("ours", 1))
 	}
 }
--- a/internal/replay/sim.go
+++ b/internal/replay/sim.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// quietRound is the time between decisions while nothing happens.
-	quietRound = 30 * time.Second
-	// serviceTime is how long a request keeps its replica from being idle.
+	// idleDecisionInterval is the time between decisions without any other event.
+	idleDecisionInterval = 30 * time.Second
+	// serviceTime is the time for which a request occupies its replica.
 	serviceTime = 2 * time.Second
 	unloadTime  = 500 * time.Millisecond
-	// patience is how long callers wait for a load before they give up.
-	patience = 60 * time.Second
-	// aheadEvery is the time between looks at loads ahead of demand.
-	aheadEvery = time.Minute
-	// visitGap parts two visits of a target: the first request of each is the
-	// one whose wait is the cold-start time, 0 when a replica was kept.
+	// waitTimeout is the time after which a waiting request is refused.
+	waitTimeout = 60 * time.Second
+	// preloadInterval is the time between decisions that consider preloads.
+	preloadInterval = time.Minute
+	// visitGap is the time without requests that separates two visits of a target. The wait
+	// of the first request of a visit is the cold-start time, 0 if a replica is loaded.
 	visitGap = time.Minute
-	// diskCacheMiB is the room for checkpoints on each server's disk.
+	// diskCacheMiB is the capacity for checkpoints on the disk of each server.
 	diskCacheMiB = 400 << 10
 	maxWaitMs    = 600_000
 )
 
-// Result is what one replay gave.
+// Result is the result of a replay.
 type Result struct {
 	policy   string
 	scenario string
 	seed     int64
 	visits   *hdrhistogram.Histogram
-	// Totals of the whole replay.
-	requests, refused, late, loads int
-	remoteMiB                      uint64
-	idle                           time.Duration
-	// forecastError holds the absolute errors of the forecast waits.
+	// Totals of the replay after the warm-up.
+	requests, refused, lateRequests, loads int
+	remoteMiB                              uint64
+	idleTime                               time.Duration
+	// forecastError is the distribution of the absolute errors of the forecast waits.
 	forecastError *hdrhistogram.Histogram
 }
 
@@ -52,102 +52,112 @@
 // Seed returns the seed of the arrivals.
 func (r Result) Seed() int64 { return r.seed }
 
-// ColdStart returns a percentile of the visits' cold-start time.
+// ColdStart returns a percentile of the cold-start times of visits.
 func (r Result) ColdStart(percentile float64) time.Duration {
 	return time.Duration(r.visits.ValueAtPercentile(percentile)) * time.Millisecond
 }
 
-// MeanColdStart returns the mean cold-start time of the visits.
+// MeanColdStart returns the mean cold-start time of visits.
 func (r Result) MeanColdStart() time.Duration {
 	return time.Duration(r.visits.Mean() * float64(time.Millisecond))
 }
 
-// IdleHours returns the accelerator hours that were held without a request.
-func (r Result) IdleHours() float64 { return r.idle.Hours() }
+// IdleHours returns the accelerator hours of loaded models without requests.
+func (r Result) IdleHours() float64 { return r.idleTime.Hours() }
 
 // Visits returns the number of visits.
 func (r Result) Visits() int64 { return r.visits.TotalCount() }
 
-// LateShare returns the share of requests that waited for more than 10 seconds.
-func (r Result) LateShare() float64 { return float64(r.late) / float64(max(r.requests, 1)) }
+// LateShare returns the share of requests that waited for more than lateThreshold.
+func (r Result) LateShare() float64 { return float64(r.lateRequests) / float64(max(r.requests, 1)) }
 
-// Refused returns the requests that gave up.
+// Refused returns the number of requests that were refused after waitTimeout.
 func (r Result) Refused() int { return r.refused }
 
 // Loads returns the number of loads.
 func (r Result) Loads() int { return r.loads }
 
-// RemoteGiB returns what was read from the weight store.
+// RemoteGiB returns the amount of data read from the weight store in GiB.
 func (r Result) RemoteGiB() float64 { return float64(r.remoteMiB) / 1024 }
 
-// ForecastError returns a percentile of the absolute error of forecast waits.
+// ForecastError returns a percentile of the absolute error of the forecast waits.
 func (r Result) ForecastError(percentile float64) time.Duration {
 	return time.Duration(r.forecastError.ValueAtPercentile(percentile)) * time.Millisecond
 }
 
-// lateAfter is when a wait counts as late.
-const lateAfter = 10 * time.Second
+// lateThreshold is the wait above which a request counts as late.
+const lateThreshold = 10 * time.Second
 
-type finish struct {
-	at     time.Time
-	number uint64
+// completion is the time at which a load or unload of a replica completes.
+type completion struct {
+	at      time.Time
+	replica uint64
 }
 
-type finishes []finish
+// completionHeap is a heap.Interface whose first element is the next completion.
+type completionHeap []completion
 
-func (f finishes) Len() int           { return len(f) }
-func (f finishes) Less(i, j int) bool { return f[i].at.Before(f[j].at) }
-func (f finishes) Swap(i, j int)      { f[i], f[j] = f[j], f[i] }
-func (f *finishes) Push(x any)        { *f = append(*f, x.(finish)) }
-func (f *finishes) Pop() any {
+func (f completionHeap) Len() int           { return len(f) }
+func (f completionHeap) Less(i, j int) bool { return f[i].at.Before(f[j].at) }
+func (f completionHeap) Swap(i, j int)      { f[i], f[j] = f[j], f[i] }
+func (f *completionHeap) Push(x any)        { *f = append(*f, x.(completion)) }
+func (f *completionHeap) Pop() any {
 	old := *f
 	x := old[len(old)-1]
 	*f = old[:len(old)-1]
 	return x
 }
 
-type waiting struct {
-	since    time.Time
-	visit    bool
+// waitingRequest is a request that waits for a load.
+type waitingRequest struct {
+	since       time.Time
+	startsVisit bool
+	// forecast is the first forecast of the wait, -1 if there is none.
 	forecast time.Duration
 }
 
-type use struct {
-	last    time.Time
-	busy    time.Time
-	waiting []waiting
-	// arrivals are all of the target's, for the clairvoyant; next points to the
-	// first one that is ahead.
-	arrivals []time.Time
-	next     int
+// targetState is the state of a model or adapter.
+type targetState struct {
+	// lastArrival is the time of the last request for the target, or for an adapter of it.
+	lastArrival time.Time
+	// busyUntil is the time at which the last request completes.
+	busyUntil time.Time
+	waiting   []waitingRequest
+	// arrivals are the times of all arrivals for the target, for the clairvoyant policy.
+	// nextArrival is the index of the first one that has not been replayed.
+	arrivals    []time.Time
+	nextArrival int
 }
 
-type sim struct {
-	policy   Policy
-	in       Scenario
-	start    time.Time
-	now      time.Time
-	models   map[string]placement.Model
-	servers  []placement.Server
-	replicas []placement.Replica
-	uses     map[string]*use
-	patterns map[string]*placement.ArrivalPattern
-	learner  *placement.SpeedEstimator
-	finishes finishes
-	began    map[uint64]time.Time
-	// lookedAhead is when loads ahead were last considered.
-	lookedAhead time.Time
-	number      uint64
+// simulation is the state of a replay.
+type simulation struct {
+	policy          Policy
+	scenario        Scenario
+	start           time.Time
+	now             time.Time
+	models          map[string]placement.Model
+	servers         []placement.Server
+	replicas        []placement.Replica
+	targets         map[string]*targetState
+	arrivalPatterns map[string]*placement.ArrivalPattern
+	speedEstimator  *placement.SpeedEstimator
+	completions     completionHeap
+	// loadStarts is the start time of each load in progress, by replica.
+	loadStarts map[uint64]time.Time
+	// lastPreload is the time at which preloads were last considered.
+	lastPreload time.Time
+	// lastReplica is the number of the replica that was loaded last.
+	lastReplica uint64
 	random      *rand.Rand
 	result      Result
 }
 
 // Run replays a scenario under a policy.
 func Run(in Scenario, seed int64, p Policy) Result {
-	s := &sim{
-		policy: p, in: in, start: time.Unix(1_790_000_000, 0).UTC().Truncate(day), models: map[string]placement.Model{},
-		uses: map[string]*use{}, patterns: map[string]*placement.ArrivalPattern{}, began: map[uint64]time.Time{},
-		learner: placement.NewSpeedEstimator(in.Speeds), random: rand.New(rand.NewSource(seed)),
+	s := &simulation{
+		policy: p, scenario: in, start: time.Unix(1_790_000_000, 0).UTC().Truncate(day), models: map[string]placement.Model{},
+		targets: map[string]*targetState{}, arrivalPatterns: map[string]*placement.ArrivalPattern{}, loadStarts: map[uint64]time.Time{},
+		speedEstimator: placement.NewSpeedEstimator(in.Speeds), random: rand.New(rand.NewSource(seed)),
 		result: Result{
 			policy: p.name, scenario: in.Name, seed: seed,
 			visits: hdrhistogram.New(1, maxWaitMs, 3), forecastError: hdrhistogram.New(1, maxWaitMs, 3),
@@ -156,53 +166,53 @@
 	s.now = s.start
 	for _, m := range in.Models {
 		s.models[m.Name] = m
-		s.uses[m.Name] = &use{}
-		s.patterns[m.Name] = placement.NewArrivalPattern(s.start)
+		s.targets[m.Name] = &targetState{}
+		s.arrivalPatterns[m.Name] = placement.NewArrivalPattern(s.start)
 	}
-	for _, x := range in.Servers {
-		copied := x
+	for _, server := range in.Servers {
+		copied := server
 		copied.Cached = map[string]placement.Tier{}
-		for t, tier := range x.Cached {
-			// A recorded file may not know every cached checkpoint.
-			if s.uses[t] != nil {
+		for t, tier := range server.Cached {
+			// The scenario may lack models whose checkpoints are cached.
+			if s.targets[t] != nil {
 				copied.Cached[t] = tier
 			}
 		}
 		s.servers = append(s.servers, copied)
 	}
 	for _, a := range in.Arrivals {
-		if u := s.uses[a.Target]; u != nil {
-			u.arrivals = append(u.arrivals, s.start.Add(a.At))
+		if state := s.targets[a.Target]; state != nil {
+			state.arrivals = append(state.arrivals, s.start.Add(a.At))
 		}
 	}
 	s.run()
 	return s.result
 }
 
-func (s *sim) run() {
-	end := s.start.Add(s.in.Length)
+func (s *simulation) run() {
+	end := s.start.Add(s.scenario.Length)
 	next := 0
-	quiet := s.start
+	nextIdleDecision := s.start
 	for s.now.Before(end) {
-		at := quiet
-		if next < len(s.in.Arrivals) {
-			at = earlier(at, s.start.Add(s.in.Arrivals[next].At))
+		at := nextIdleDecision
+		if next < len(s.scenario.Arrivals) {
+			at = minTime(at, s.start.Add(s.scenario.Arrivals[next].At))
 		}
-		if len(s.finishes) > 0 {
-			at = earlier(at, s.finishes[0].at)
+		if len(s.completions) > 0 {
+			at = minTime(at, s.completions[0].at)
 		}
-		s.pass(at)
-		tick := !at.Before(quiet)
+		s.advance(at)
+		tick := !at.Before(nextIdleDecision)
 		decide := tick
 		if tick {
-			quiet = at.Add(quietRound)
+			nextIdleDecision = at.Add(idleDecisionInterval)
 		}
-		for len(s.finishes) > 0 && !s.finishes[0].at.After(s.now) {
-			s.finish(heap.Pop(&s.finishes).(finish).number)
+		for len(s.completions) > 0 && !s.completions[0].at.After(s.now) {
+			s.completeOrder(heap.Pop(&s.completions).(completion).replica)
 			decide = true
 		}
-		for next < len(s.in.Arrivals) && !s.start.Add(s.in.Arrivals[next].At).After(s.now) {
-			decide = s.arrive(s.in.Arrivals[next].Target) || decide
+		for next < len(s.scenario.Arrivals) && !s.start.Add(s.scenario.Arrivals[next].At).After(s.now) {
+			decide = s.handleArrival(s.scenario.Arrivals[next].Target) || decide
 			next++
 		}
 		if decide {
@@ -211,18 +221,18 @@
 	}
 }
 
-func earlier(a, b time.Time) time.Time {
+func minTime(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
 	return b
 }
 
-// learning reports whether the days that only teach the policy are not over.
-func (s *sim) learning() bool { return s.now.Sub(s.start) < s.in.WarmUp }
+// warmingUp reports whether the warm-up is in progress, in which nothing is measured.
+func (s *simulation) warmingUp() bool { return s.now.Sub(s.start) < s.scenario.WarmUp }
 
-// pass lets time go by and counts idle accelerators.
-func (s *sim) pass(to time.Time) {
+// advance advances the simulated time and adds up the idle time of accelerators.
+func (s *simulation) advance(to time.Time) {
 	step := to.Sub(s.now)
 	if step <= 0 {
 		return
@@ -232,208 +242,213 @@
 			continue
 		}
 		from := s.now
-		if busy := s.uses[r.Target].busy; busy.After(from) {
-			from = earlier(busy, to)
+		if busy := s.targets[r.Target].busyUntil; busy.After(from) {
+			from = minTime(busy, to)
 		}
-		if s.learning() {
+		if s.warmingUp() {
 			continue
 		}
 		share := float64(r.MemoryMiB) / acceleratorMiB
-		s.result.idle += time.Duration(float64(to.Sub(from)) * share)
+		s.result.idleTime += time.Duration(float64(to.Sub(from)) * share)
 	}
 	s.now = to
-	s.outages()
+	s.applyOutages()
 }
 
-func (s *sim) outages() {
+// applyOutages updates which servers are available.
+func (s *simulation) applyOutages() {
 	for i := range s.servers {
-		x := &s.servers[i]
+		server := &s.servers[i]
 		usable := true
-		for _, o := range s.in.Outages {
-			if o.Server == x.Name && s.now.Sub(s.start) >= o.At && s.now.Sub(s.start) < o.Back {
+		for _, o := range s.scenario.Outages {
+			if o.Server == server.Name && s.now.Sub(s.start) >= o.Start && s.now.Sub(s.start) < o.End {
 				usable = false
 			}
 		}
-		if x.Usable && !usable {
-			// The host is reclaimed; its next incarnation holds nothing.
-			x.Incarnation++
-			s.replicas = slices.DeleteFunc(s.replicas, func(r placement.Replica) bool { return r.Server == x.Name })
+		if server.Usable && !usable {
+			// The next incarnation of the server has no loaded models.
+			server.Incarnation++
+			s.replicas = slices.DeleteFunc(s.replicas, func(r placement.Replica) bool { return r.Server == server.Name })
 		}
-		x.Usable = usable
+		server.Usable = usable
 	}
 }
 
-// arrive returns whether a decision is due.
-func (s *sim) arrive(target string) bool {
-	u := s.uses[target]
-	if u == nil {
+// handleArrival replays the arrival of a request and reports whether a decision is due.
+func (s *simulation) handleArrival(target string) bool {
+	state := s.targets[target]
+	if state == nil {
 		return false
 	}
-	if !s.learning() {
+	if !s.warmingUp() {
 		s.result.requests++
 	}
-	visit := u.last.IsZero() || s.now.Sub(u.last) > visitGap
-	s.patterns[target].RecordArrival(s.now)
-	// A request for an adapter needs its base as well.
+	visit := state.lastArrival.IsZero() || s.now.Sub(state.lastArrival) > visitGap
+	s.arrivalPatterns[target].RecordArrival(s.now)
+	// A request for an adapter also uses its base model.
 	if base := s.models[target].Base; base != "" {
-		s.patterns[base].RecordArrival(s.now)
-		s.uses[base].last = s.now
+		s.arrivalPatterns[base].RecordArrival(s.now)
+		s.targets[base].lastArrival = s.now
 	}
-	u.last = s.now
-	u.next++
-	if s.loaded(target) {
-		u.busy = later(u.busy, s.now.Add(serviceTime))
+	state.lastArrival = s.now
+	state.nextArrival++
+	if s.isLoaded(target) {
+		state.busyUntil = maxTime(state.busyUntil, s.now.Add(serviceTime))
 		if visit {
-			s.record(0)
+			s.recordColdStart(0)
 		}
 		return false
 	}
-	u.waiting = append(u.waiting, waiting{since: s.now, visit: visit, forecast: -1})
+	state.waiting = append(state.waiting, waitingRequest{since: s.now, startsVisit: visit, forecast: -1})
 	return true
 }
 
-func later(a, b time.Time) time.Time {
+func maxTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-func (s *sim) record(wait time.Duration) {
-	if s.learning() {
+// recordColdStart records the cold-start time of a visit, unless it is in the warm-up.
+func (s *simulation) recordColdStart(wait time.Duration) {
+	if s.warmingUp() {
 		return
 	}
 	_ = s.result.visits.RecordValue(min(wait.Milliseconds(), maxWaitMs))
 }
 
-func (s *sim) loaded(target string) bool {
+func (s *simulation) isLoaded(target string) bool {
 	return slices.ContainsFunc(s.replicas, func(r placement.Replica) bool {
 		return r.Target == target && r.State == placement.StateLoaded
 	})
 }
 
-func (s *sim) decide(settled bool) {
-	s.giveUp()
+// decide makes the placement decisions and applies them. skipIdle disables unloads that are
+// due only to idle time.
+func (s *simulation) decide(skipIdle bool) {
+	s.expireRequests()
 	in := placement.Input{
 		Now: s.now, Servers: s.servers, Demands: map[string]placement.Demand{},
 		Model: func(name string) (placement.Model, bool) {
 			m, ok := s.models[name]
 			return m, ok
 		},
-		Pattern: func(name string) *placement.ArrivalPattern { return s.patterns[name] },
-		Speeds:  s.learner.Speeds(), Prices: s.in.Weights, SkipIdle: settled,
+		Pattern: func(name string) *placement.ArrivalPattern { return s.arrivalPatterns[name] },
+		Speeds:  s.speedEstimator.Speeds(), Prices: s.scenario.Prices, SkipIdle: skipIdle,
 	}
-	if s.policy.weights != nil {
-		in.Prices = s.policy.weights(in.Prices)
+	if s.policy.adjustPrices != nil {
+		in.Prices = s.policy.adjustPrices(in.Prices)
 	}
-	if s.policy.keep != nil {
-		in.IdleTimeout = func(r placement.Replica) time.Duration { return s.policy.keep(s, r) }
+	if s.policy.idleTimeout != nil {
+		in.IdleTimeout = func(r placement.Replica) time.Duration { return s.policy.idleTimeout(s, r) }
 	}
-	if s.policy.keep == nil && s.now.Sub(s.lookedAhead) >= aheadEvery {
-		s.lookedAhead = s.now
-		for _, m := range s.in.Models {
+	if s.policy.idleTimeout == nil && s.now.Sub(s.lastPreload) >= preloadInterval {
+		s.lastPreload = s.now
+		for _, m := range s.scenario.Models {
 			in.PreloadCandidates = append(in.PreloadCandidates, m.Name)
 		}
 	}
 	for _, r := range s.replicas {
-		u := s.uses[r.Target]
-		r.LastUsed = later(later(u.last, u.busy), r.Since)
-		if u.busy.After(s.now) {
+		state := s.targets[r.Target]
+		r.LastUsed = maxTime(maxTime(state.lastArrival, state.busyUntil), r.Since)
+		if state.busyUntil.After(s.now) {
 			r.Running = 1
 		}
 		in.Replicas = append(in.Replicas, r)
 	}
-	for t, u := range s.uses {
-		if len(u.waiting) > 0 {
-			in.Demands[t] = placement.Demand{Waiting: len(u.waiting), EarliestDeadline: u.waiting[0].since.Add(patience)}
+	for t, state := range s.targets {
+		if len(state.waiting) > 0 {
+			in.Demands[t] = placement.Demand{Waiting: len(state.waiting), EarliestDeadline: state.waiting[0].since.Add(waitTimeout)}
 		}
 	}
 	plan := placement.Decide(in)
-	s.noteForecasts(plan)
+	s.recordForecasts(plan)
 	for _, d := range plan.Decisions {
-		s.act(d)
+		s.applyDecision(d)
 	}
 }
 
-// giveUp refuses those who have waited too long.
-func (s *sim) giveUp() {
-	for _, u := range s.uses {
-		for len(u.waiting) > 0 && s.now.Sub(u.waiting[0].since) > patience {
-			if !s.learning() {
+// expireRequests refuses the requests that have waited for longer than waitTimeout.
+func (s *simulation) expireRequests() {
+	for _, state := range s.targets {
+		for len(state.waiting) > 0 && s.now.Sub(state.waiting[0].since) > waitTimeout {
+			if !s.warmingUp() {
 				s.result.refused++
 			}
-			if u.waiting[0].visit {
-				s.record(patience)
+			if state.waiting[0].startsVisit {
+				s.recordColdStart(waitTimeout)
 			}
-			u.waiting = u.waiting[1:]
+			state.waiting = state.waiting[1:]
 		}
 	}
 }
 
-func (s *sim) noteForecasts(plan placement.Plan) {
+// recordForecasts records the first forecast of the wait of each request.
+func (s *simulation) recordForecasts(plan placement.Plan) {
 	for t, f := range plan.Forecasts {
-		u := s.uses[t]
-		for i := range u.waiting {
-			if w := &u.waiting[i]; w.forecast < 0 && f.Possible {
+		state := s.targets[t]
+		for i := range state.waiting {
+			if w := &state.waiting[i]; w.forecast < 0 && f.Possible {
 				w.forecast = max(f.ReadyAt.Sub(w.since), 0)
 			}
 		}
 	}
 }
 
-func (s *sim) act(d placement.Decision) {
+func (s *simulation) applyDecision(d placement.Decision) {
 	if d.Kind == placement.KindUnload {
 		for i := range s.replicas {
 			if s.replicas[i].Number == d.Replica {
 				s.replicas[i].State = placement.StateUnloading
-				heap.Push(&s.finishes, finish{s.now.Add(unloadTime), d.Replica})
+				heap.Push(&s.completions, completion{s.now.Add(unloadTime), d.Replica})
 			}
 		}
 		return
 	}
-	s.number++
+	s.lastReplica++
 	m := s.models[d.Target]
 	s.replicas = append(s.replicas, placement.Replica{
-		Number: s.number, Target: d.Target, Version: m.Version, Server: d.Server, Accelerator: d.Accelerator,
+		Number: s.lastReplica, Target: d.Target, Version: m.Version, Server: d.Server, Accelerator: d.Accelerator,
 		MemoryMiB: m.MemoryMiB, State: placement.StateLoading, ReadyAt: d.ReadyAt, Since: s.now,
 	})
-	s.began[s.number] = s.now
-	if !s.learning() {
+	s.loadStarts[s.lastReplica] = s.now
+	if !s.warmingUp() {
 		s.result.loads++
 	}
-	heap.Push(&s.finishes, finish{s.now.Add(s.loadTime(d, m)), s.number})
+	heap.Push(&s.completions, completion{s.now.Add(s.loadTime(d, m)), s.lastReplica})
 }
 
-// loadTime is how long a load really takes: the store's present rate and a
-// spread that no policy can know.
-func (s *sim) loadTime(d placement.Decision, m placement.Model) time.Duration {
+// loadTime returns the actual duration of a load. It depends on the current rate of the weight
+// store and on a random factor that is unknown to the policies.
+func (s *simulation) loadTime(d placement.Decision, m placement.Model) time.Duration {
 	tier := placement.TierRemote
 	remote := 0
 	for _, r := range s.replicas {
-		if r.State == placement.StateLoading && s.server(r.Server).Cached[r.Target] == placement.TierRemote {
+		if r.State == placement.StateLoading && s.findServer(r.Server).Cached[r.Target] == placement.TierRemote {
 			remote++
 		}
 	}
-	if x := s.server(d.Server); x != nil {
-		tier = x.Cached[d.Target]
+	if server := s.findServer(d.Server); server != nil {
+		tier = server.Cached[d.Target]
 	}
-	speeds := s.in.Speeds
+	speeds := s.scenario.Speeds
 	if tier == placement.TierRemote {
-		if !s.learning() {
+		if !s.warmingUp() {
 			s.result.remoteMiB += m.MemoryMiB
 		}
 		remote--
-		for _, x := range s.in.Slowdowns {
-			if at := s.now.Sub(s.start); at >= x.From && at < x.To {
-				speeds.RemoteMiBPerSecond /= x.By
+		for _, slowdown := range s.scenario.Slowdowns {
+			if at := s.now.Sub(s.start); at >= slowdown.From && at < slowdown.To {
+				speeds.RemoteMiBPerSecond /= slowdown.Factor
 			}
 		}
 	}
-	spread := 0.9 + 0.3*s.random.Float64()
-	return time.Duration(spread * float64(placement.LoadTime(speeds, tier, m.MemoryMiB, max(remote, 0))))
+	factor := 0.9 + 0.3*s.random.Float64()
+	return time.Duration(factor * float64(placement.LoadTime(speeds, tier, m.MemoryMiB, max(remote, 0))))
 }
 
-func (s *sim) server(name string) *placement.Server {
+func (s *simulation) findServer(name string) *placement.Server {
 	for i := range s.servers {
 		if s.servers[i].Name == name {
 			return &s.servers[i]
@@ -442,8 +457,9 @@
 	return nil
 }
 
-func (s *sim) finish(number uint64) {
-	i := slices.IndexFunc(s.replicas, func(r placement.Replica) bool { return r.Number == number })
+// completeOrder completes the load or unload of a replica.
+func (s *simulation) completeOrder(replica uint64) {
+	i := slices.IndexFunc(s.replicas, func(r placement.Replica) bool { return r.Number == replica })
 	if i < 0 {
 		return
 	}
@@ -452,65 +468,65 @@
 		s.replicas = slices.Delete(s.replicas, i, i+1)
 		return
 	}
-	x := s.server(r.Server)
-	s.learner.Observe(x.Cached[r.Target], r.MemoryMiB, s.now.Sub(s.began[number]))
-	delete(s.began, number)
-	s.cache(x, r.Target)
+	server := s.findServer(r.Server)
+	s.speedEstimator.Observe(server.Cached[r.Target], r.MemoryMiB, s.now.Sub(s.loadStarts[replica]))
+	delete(s.loadStarts, replica)
+	s.cacheOnDisk(server, r.Target)
 	r.State = placement.StateLoaded
 	r.Since = s.now
-	u := s.uses[r.Target]
-	for _, w := range u.waiting {
+	state := s.targets[r.Target]
+	for _, w := range state.waiting {
 		wait := s.now.Sub(w.since)
-		if w.visit {
-			s.record(wait)
+		if w.startsVisit {
+			s.recordColdStart(wait)
 		}
 		if w.forecast >= 0 {
 			_ = s.result.forecastError.RecordValue(min((wait - w.forecast).Abs().Milliseconds(), maxWaitMs))
 		}
-		if wait > lateAfter && !s.learning() {
-			s.result.late++
+		if wait > lateThreshold && !s.warmingUp() {
+			s.result.lateRequests++
 		}
 	}
-	if len(u.waiting) > 0 {
-		u.busy = later(u.busy, s.now.Add(serviceTime))
+	if len(state.waiting) > 0 {
+		state.busyUntil = maxTime(state.busyUntil, s.now.Add(serviceTime))
 	}
-	u.waiting = nil
+	state.waiting = nil
 }
 
-// cache puts a checkpoint on a server's disk; the one whose target was used
-// longest ago makes room.
-func (s *sim) cache(x *placement.Server, target string) {
-	if x.Cached[target] == placement.TierMemory {
+// cacheOnDisk adds a checkpoint to the disk cache of a server and evicts the least recently
+// used checkpoints that exceed its capacity.
+func (s *simulation) cacheOnDisk(server *placement.Server, target string) {
+	if server.Cached[target] == placement.TierMemory {
 		return
 	}
-	x.Cached[target] = placement.TierDisk
+	server.Cached[target] = placement.TierDisk
 	for {
 		var used uint64
 		oldest := ""
-		for t, tier := range x.Cached {
+		for t, tier := range server.Cached {
 			if tier != placement.TierDisk {
 				continue
 			}
 			used += s.models[t].MemoryMiB
-			if t != target && (oldest == "" || s.uses[t].last.Before(s.uses[oldest].last) ||
-				s.uses[t].last.Equal(s.uses[oldest].last) && t < oldest) {
+			if t != target && (oldest == "" || s.targets[t].lastArrival.Before(s.targets[oldest].lastArrival) ||
+				s.targets[t].lastArrival.Equal(s.targets[oldest].lastArrival) && t < oldest) {
 				oldest = t
 			}
 		}
 		if used <= diskCacheMiB || oldest == "" {
 			return
 		}
-		delete(x.Cached, oldest)
+		delete(server.Cached, oldest)
 	}
 }
 
-// nextUse returns when a target is asked for next.
-func (s *sim) nextUse(target string) (time.Time, bool) {
-	u := s.uses[target]
-	if u.next >= len(u.arrivals) {
+// nextArrival returns the time of the next arrival for a target.
+func (s *simulation) nextArrival(target string) (time.Time, bool) {
+	state := s.targets[target]
+	if state.nextArrival >= len(state.arrivals) {
 		return time.Time{}, false
 	}
-	return u.arrivals[u.next], true
+	return state.arrivals[state.nextArrival], true
 }
 
-func (s *sim) lastUse(target string) time.Time { return s.uses[target].last }
+func (s *simulation) lastArrival(target string) time.Time { return s.targets[target].lastArrival }
--- a/internal/replay/summary.go
+++ b/internal/replay/summary.go
@@ -11,26 +11,28 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// curve holds the multiples of the idle price at which the policy in use is
-// drawn; 1 is the deployment's own weight.
-var curve = []float64{0.03, 0.1, 0.3, 1, 3, 10, 30, 100}
+// idlePriceFactors are the factors of the idle price with which the cost-based policy is
+// replayed. 1 is the price of the deployment.
+var idlePriceFactors = []float64{0.03, 0.1, 0.3, 1, 3, 10, 30, 100}
 
-const oursName = "ours"
+// costBasedName is the name of the cost-based policy in outputs.
+const costBasedName = "ours"
 
-// All returns the policy in use along its curve and the baselines.
-func All() []Policy {
+// AllPolicies returns the cost-based policy with each of idlePriceFactors, and the baselines.
+func AllPolicies() []Policy {
 	var out []Policy
-	for _, x := range curve {
-		name := fmt.Sprintf("%s x%g", oursName, x)
+	for _, x := range idlePriceFactors {
+		name := fmt.Sprintf("%s x%g", costBasedName, x)
 		if x == 1 {
-			name = oursName
+			name = costBasedName
 		}
-		out = append(out, Ours(name, x))
+		out = append(out, CostBased(name, x))
 	}
 	return append(out, Baselines()...)
 }
 
-// Summary is a policy's mean over seeds; times are in seconds.
+// Summary is the mean of the results of a policy over all seeds. Times are in seconds, and
+// spreads are standard deviations.
 type Summary struct {
 	Policy        string  `json:"policy"`
 	Seeds         int     `json:"seeds"`
@@ -49,26 +51,26 @@
 	ForecastError float64 `json:"forecast-error-p95"`
 }
 
-// Summarize joins the results of each policy over its seeds, in the order in
-// which the policies first appear.
+// Summarize returns a summary of each policy, in the order in which the policies first
+// appear in the results.
 func Summarize(results []Result) []Summary {
 	var order []string
-	by := map[string][]Result{}
+	byPolicy := map[string][]Result{}
 	for _, r := range results {
-		if len(by[r.policy]) == 0 {
+		if len(byPolicy[r.policy]) == 0 {
 			order = append(order, r.policy)
 		}
-		by[r.policy] = append(by[r.policy], r)
+		byPolicy[r.policy] = append(byPolicy[r.policy], r)
 	}
 	var out []Summary
 	for _, name := range order {
-		out = append(out, summarize(name, by[name]))
+		out = append(out, summarize(name, byPolicy[name]))
 	}
 	return out
 }
 
 func summarize(name string, results []Result) Summary {
-	of := func(value func(Result) float64) (mean, spread float64) {
+	meanAndSpread := func(value func(Result) float64) (mean, spread float64) {
 		var values []float64
 		for _, r := range results {
 			values = append(values, value(r))
@@ -79,39 +81,39 @@
 		return stat.MeanStdDev(values, nil)
 	}
 	s := Summary{Policy: name, Seeds: len(results)}
-	s.P50, _ = of(func(r Result) float64 { return r.ColdStart(50).Seconds() })
-	s.P95, _ = of(func(r Result) float64 { return r.ColdStart(95).Seconds() })
-	s.P99, s.P99Spread = of(func(r Result) float64 { return r.ColdStart(99).Seconds() })
-	s.Mean, _ = of(func(r Result) float64 { return r.MeanColdStart().Seconds() })
-	s.IdleHours, s.IdleSpread = of(Result.IdleHours)
-	s.LateShare, _ = of(Result.LateShare)
-	s.Refused, _ = of(func(r Result) float64 { return float64(r.refused) })
-	s.Loads, _ = of(func(r Result) float64 { return float64(r.loads) })
-	s.RemoteGiB, _ = of(Result.RemoteGiB)
-	s.Visits, _ = of(func(r Result) float64 { return float64(r.Visits()) })
-	s.ForecastError, _ = of(func(r Result) float64 { return r.ForecastError(95).Seconds() })
+	s.P50, _ = meanAndSpread(func(r Result) float64 { return r.ColdStart(50).Seconds() })
+	s.P95, _ = meanAndSpread(func(r Result) float64 { return r.ColdStart(95).Seconds() })
+	s.P99, s.P99Spread = meanAndSpread(func(r Result) float64 { return r.ColdStart(99).Seconds() })
+	s.Mean, _ = meanAndSpread(func(r Result) float64 { return r.MeanColdStart().Seconds() })
+	s.IdleHours, s.IdleSpread = meanAndSpread(Result.IdleHours)
+	s.LateShare, _ = meanAndSpread(Result.LateShare)
+	s.Refused, _ = meanAndSpread(func(r Result) float64 { return float64(r.refused) })
+	s.Loads, _ = meanAndSpread(func(r Result) float64 { return float64(r.loads) })
+	s.RemoteGiB, _ = meanAndSpread(Result.RemoteGiB)
+	s.Visits, _ = meanAndSpread(func(r Result) float64 { return float64(r.Visits()) })
+	s.ForecastError, _ = meanAndSpread(func(r Result) float64 { return r.ForecastError(95).Seconds() })
 	return s
 }
 
-// Plot draws cold-start p99 against idle accelerator hours into an .svg or .png
-// file: the policy in use as a curve, every baseline as a point.
+// Plot writes a plot of the cold-start p99 over idle accelerator hours to an .svg or .png
+// file. It shows the cost-based policy as a curve and each baseline as a point.
 func Plot(file, title string, summaries []Summary) error {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text = "idle accelerator hours"
 	p.Y.Label.Text = "cold-start p99 in seconds"
-	var ours plotter.XYs
+	var costBased plotter.XYs
 	labels := plotter.XYLabels{}
 	for _, s := range summaries {
 		at := plotter.XY{X: s.IdleHours, Y: s.P99}
-		if len(s.Policy) >= len(oursName) && s.Policy[:len(oursName)] == oursName {
-			ours = append(ours, at)
+		if len(s.Policy) >= len(costBasedName) && s.Policy[:len(costBasedName)] == costBasedName {
+			costBased = append(costBased, at)
 			continue
 		}
 		labels.XYs = append(labels.XYs, at)
 		labels.Labels = append(labels.Labels, s.Policy)
 	}
-	line, points, err := plotter.NewLinePoints(ours)
+	line, points, err := plotter.NewLinePoints(costBased)
 	if err != nil {
 		return errors.Newf("draw curve: %w", err)
 	}
@@ -125,7 +127,7 @@
 		return errors.Newf("draw names: %w", err)
 	}
 	p.Add(plotter.NewGrid(), line, points, baselines, names)
-	p.Legend.Add(oursName, line, points)
+	p.Legend.Add(costBasedName, line, points)
 	if err := p.Save(16*vg.Centimeter, 12*vg.Centimeter, file); err != nil {
 		return errors.Newf("write plot: %w", err)
 	}
