--- a/cmd/fennelyard/harmful_test.go
+++ b/cmd/fennelyard/harmful_test.go
@@ -45,7 +45,7 @@
 		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				id := fmt.Sprintf("%d-%d", client, n)
-				url := fmt.Sprintf("http://%s:%d/%s/x", s.entryIP(n%entries), s.port+2, standin.Once)
+				url := fmt.Sprintf("http://%s:%d/%s/x", s.entryIP(n%entries), s.port+2, standin.UnsafeRoute)
 				status, _ := s.call(http.MethodPost, url, "body "+id, standin.RequestHeader(id, 2000), 3*time.Second)
 				mu.Lock()
 				outcomes[status]++
--- a/cmd/fennelyard/serve.go
+++ b/cmd/fennelyard/serve.go
@@ -90,7 +90,7 @@
 		Example: "  fennelyard demo\n  fennelyard demo --harmful",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			cfg := demo.Config{Out: c.OutOrStdout(), Harmful: harmful}
+			cfg := demo.Config{Out: c.OutOrStdout(), CrashingRequest: harmful}
 			if verbose {
 				cfg.Log = newLogger(c.ErrOrStderr(), 1)
 			}
--- a/cmd/fennelyard/soak_engines_test.go
+++ b/cmd/fennelyard/soak_engines_test.go
@@ -76,7 +76,7 @@
 // the same id and disk at another address.
 func (s *soak) runEngine(i int, r *rand.Rand) {
 	e := standin.NewEngine(standin.EngineConfig{
-		ID: fmt.Sprint("e-", i), Fate: func() (bool, time.Duration) { return s.drawOrderFault(r) }, Taken: s.checkOrder, Fault: s.recordViolation,
+		ID: fmt.Sprint("e-", i), OrderFate: func() (bool, time.Duration) { return s.drawOrderFault(r) }, OnOrder: s.checkOrder, Errorf: s.recordViolation,
 	})
 	index := s.servers + i
 	for s.serversCtx.Err() == nil {
@@ -85,7 +85,7 @@
 		lifetime, end := context.WithTimeout(s.serversCtx, s.uptime(r))
 		h := &http.Server{ReadHeaderTimeout: time.Second}
 		h.Handler = http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-			if !e.Control(w, q) && e.Holds(w, q) {
+			if !e.HandleControl(w, q) && e.CheckLoaded(w, q) {
 				s.serveRequest(w, q, end)
 			}
 		})
@@ -101,9 +101,9 @@
 
 // randomTarget returns a random model, or its adapter with a probability of one third.
 func randomTarget(r *rand.Rand) string {
-	name := standin.Models[r.IntN(len(standin.Models))]
+	name := standin.ModelNames[r.IntN(len(standin.ModelNames))]
 	if r.IntN(3) == 0 {
-		return name + "/" + standin.ModelAdapter
+		return name + "/" + standin.AdapterName
 	}
 	return name
 }
@@ -113,7 +113,7 @@
 	for n := 0; s.ctx.Err() == nil; n++ {
 		id := fmt.Sprintf("%d-m%d-%d", s.seed, client, n)
 		status, body := s.callModel(id, r.IntN(s.entries), randomTarget(r))
-		s.checkResponse(id, standin.Model, status, body)
+		s.checkResponse(id, standin.ModelRoute, status, body)
 		if status == http.StatusOK {
 			s.mu.Lock()
 			s.servedByModels++
@@ -124,7 +124,7 @@
 }
 
 func (s *soak) callModel(id string, entry int, target string) (status int, body string) {
-	url := fmt.Sprintf("http://%s:%d/%s/x", s.entryIP(entry), s.port+2, standin.Model)
+	url := fmt.Sprintf("http://%s:%d/%s/x", s.entryIP(entry), s.port+2, standin.ModelRoute)
 	return s.call(http.MethodPost, url, "body", standin.ModelHeader(id, target, modelTimeoutMS), modelTimeoutMS*time.Millisecond+time.Second)
 }
 
@@ -135,8 +135,8 @@
 		return
 	}
 	var targets []string
-	for _, name := range standin.Models {
-		targets = append(targets, name, name+"/"+standin.ModelAdapter)
+	for _, name := range standin.ModelNames {
+		targets = append(targets, name, name+"/"+standin.AdapterName)
 	}
 	for i, target := range targets {
 		attempts := 0
--- a/cmd/fennelyard/soak_test.go
+++ b/cmd/fennelyard/soak_test.go
@@ -135,7 +135,7 @@
 // serveRequest is the handler of a backend server. It counts the run and responds with the
 // request's id, in one body or as a stream of events. A harmful request crashes the server.
 func (s *soak) serveRequest(w http.ResponseWriter, q *http.Request, crash func()) {
-	id, kind, after := standin.Accept(w, q)
+	id, kind, after := standin.BeginResponse(w, q)
 	body, err := io.ReadAll(q.Body)
 	if err != nil {
 		return
@@ -149,12 +149,12 @@
 	}
 	s.mu.Lock()
 	s.runs[id]++
-	twice := s.runs[id] > 1 && kind == standin.Once
+	twice := s.runs[id] > 1 && kind == standin.UnsafeRoute
 	s.mu.Unlock()
 	if twice {
 		s.recordViolation("%s ran twice", id)
 	}
-	if kind != standin.Stream {
+	if kind != standin.StreamRoute {
 		time.Sleep(time.Duration(len(id)%7) * 5 * time.Millisecond)
 		_, _ = io.WriteString(w, "answer "+id)
 		return
@@ -236,7 +236,7 @@
 	if err != nil {
 		return 0, ""
 	}
-	q.Host = standin.Host
+	q.Host = standin.Hostname
 	for k, v := range header {
 		q.Header[k] = v
 	}
@@ -250,7 +250,7 @@
 	if err != nil {
 		return 0, ""
 	}
-	if r.StatusCode == http.StatusOK && header != nil && !standin.Signed(r.Header) {
+	if r.StatusCode == http.StatusOK && header != nil && !standin.IsSigned(r.Header) {
 		s.recordViolation("a successful response without the server's signature: %q", data)
 	}
 	return r.StatusCode, string(data)
@@ -260,7 +260,7 @@
 func (s *soak) sendRequests(client int, r *rand.Rand) {
 	for n := 0; s.ctx.Err() == nil; n++ {
 		id := fmt.Sprintf("%d-%d-%d", s.seed, client, n)
-		kind := standin.Kinds[r.IntN(len(standin.Kinds))]
+		kind := standin.RouteNames[r.IntN(len(standin.RouteNames))]
 		url := fmt.Sprintf("http://%s:%d/%s/x", s.entryIP(r.IntN(s.entries)), s.port+2, kind)
 		status, body := s.call(http.MethodPost, url, "body", standin.RequestHeader(id, 2000), 3*time.Second)
 		s.checkResponse(id, kind, status, body)
@@ -278,7 +278,7 @@
 }
 
 func (s *soak) sendHarmfulRequest(entry, n int) (status int) {
-	url := fmt.Sprintf("http://%s:%d/%s/x", s.entryIP(entry), s.port+2, standin.Once)
+	url := fmt.Sprintf("http://%s:%d/%s/x", s.entryIP(entry), s.port+2, standin.UnsafeRoute)
 	status, _ = s.call(http.MethodPost, url, harmfulBody, standin.RequestHeader(fmt.Sprintf("h-%d-%d", s.seed, n), 2000), 3*time.Second)
 	return status
 }
@@ -324,7 +324,7 @@
 
 // servesRequest reports whether an entry serves a request with the body of the ordinary ones.
 func (s *soak) servesRequest(entry int, id string) bool {
-	url := fmt.Sprintf("http://%s:%d/%s/x", s.entryIP(entry), s.port+2, standin.Again)
+	url := fmt.Sprintf("http://%s:%d/%s/x", s.entryIP(entry), s.port+2, standin.SafeRoute)
 	status, _ := s.call(http.MethodPost, url, "body", standin.RequestHeader(fmt.Sprint(id, "-", entry), 2000), 3*time.Second)
 	return status == http.StatusOK
 }
@@ -333,7 +333,7 @@
 // records whether the request was refused as not run.
 func (s *soak) checkResponse(id, kind string, status int, body string) {
 	want := "answer " + id
-	if kind == standin.Stream {
+	if kind == standin.StreamRoute {
 		want = ""
 		for i := range soakEvents {
 			want += fmt.Sprintf("id: %d\ndata: %s\n\n", i+1, id)
@@ -347,7 +347,7 @@
 	if status == http.StatusOK {
 		s.served++
 	}
-	if kind == standin.Once && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests) {
+	if kind == standin.UnsafeRoute && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests) {
 		s.notRun[id] = true
 	}
 }
@@ -374,7 +374,7 @@
 	if status != http.StatusOK {
 		return 0, false
 	}
-	version, err := standin.Version(body)
+	version, err := standin.ConfigVersion(body)
 	if err != nil || version < minVersion {
 		s.recordViolation("read version %d after %d was acknowledged: %v", version, minVersion, err)
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -44,9 +44,9 @@
 	// Out receives one line per step.
 	Out io.Writer
 	Log logr.Logger
-	// Harmful selects, in place of the other steps, the demo of a request that crashes the
-	// servers that run it.
-	Harmful bool
+	// CrashingRequest selects, in place of the other steps, the demo of a request that crashes
+	// the servers that run it.
+	CrashingRequest bool
 }
 
 // step is one step of the demo. run returns a description of its result.
@@ -91,7 +91,7 @@
 		{"an intent produces a plan", d.applyIntent},
 		{"the plan is confirmed", d.confirm},
 	}
-	if cfg.Harmful {
+	if cfg.CrashingRequest {
 		h := &heldBackDemo{deployment: d}
 		defer h.close()
 		steps = append(steps, h.steps()...)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -110,7 +110,7 @@
 		stop: make(chan struct{}), done: make(chan struct{}),
 	}
 	e.admission = admission.NewController(admission.Config{
-		QueueLimit: int(cfg.Settings.GetEntry().GetQueueLimit()), OnGrant: cfg.Metrics.Judged,
+		QueueLimit: int(cfg.Settings.GetEntry().GetQueueLimit()), OnGrant: cfg.Metrics.QueueWait,
 	})
 	e.claims = claim.NewClient(claim.Config{
 		Entry: cfg.Self.GetName(), Incarnation: cfg.Incarnation, Propose: cfg.Control.Propose,
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// Judged records the forecast and the actual queue wait of a granted request.
-func (s *Set) Judged(forecast, actual time.Duration) {
+// QueueWait records the forecast and the actual queue wait of a granted request.
+func (s *Set) QueueWait(forecast, actual time.Duration) {
 	s.queueWait.Observe(actual.Seconds())
 	s.forecastError.Observe((actual - forecast).Seconds())
 }
--- a/internal/metrics/routes.go
+++ b/internal/metrics/routes.go
@@ -40,13 +40,15 @@
 	s.registry.MustRegister(s.teamRequests, s.routeRequests, s.routeRequestTime, s.routeFirstByte, s.dispatches, s.engineOrders, s.backendConnections, s.refusedMessages)
 }
 
-// Refused counts a message of a server or an operator that was refused, by the kind of the
-// message and the reason.
-func (s *Set) Refused(what, reason string) { s.refusedMessages.WithLabelValues(what, reason).Inc() }
+// RefusedMessage counts a message of a server or an operator that was refused, by the kind of
+// the message and the reason.
+func (s *Set) RefusedMessage(what, reason string) {
+	s.refusedMessages.WithLabelValues(what, reason).Inc()
+}
 
-// Served records a finished request on a route: its status, its duration, the time to the
+// RouteRequest records a finished request on a route: its status, its duration, the time to the
 // first byte of the response (0 without one) and the number of attempts.
-func (s *Set) Served(kind, outcome string, status int, duration, firstByte time.Duration, attempts int) {
+func (s *Set) RouteRequest(kind, outcome string, status int, duration, firstByte time.Duration, attempts int) {
 	s.routeRequests.WithLabelValues(kind, outcome, strconv.Itoa(status)).Inc()
 	s.routeRequestTime.WithLabelValues(kind).Observe(duration.Seconds())
 	if firstByte > 0 {
@@ -97,8 +99,8 @@
 	s.engineOrders.WithLabelValues(what, outcome).Inc()
 }
 
-// Connected records an attempt to connect to a backend server; err is nil if it succeeded.
-func (s *Set) Connected(err error) {
+// BackendConnection records an attempt to connect to a backend server; err is nil if it succeeded.
+func (s *Set) BackendConnection(err error) {
 	result := "made"
 	if err != nil {
 		result = "failed"
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -74,7 +74,7 @@
 		},
 		Seeds: cfg.Settings.Seeds, Dialer: e.dialer, Replica: ledger.NewReplica(),
 		Sender: relay.NewSender(relay.Config{
-			OnDial: func(_ time.Duration, err error) { cfg.Metrics.Connected(err) }, Dial: cfg.Network.Dial,
+			OnDial: func(_ time.Duration, err error) { cfg.Metrics.BackendConnection(err) }, Dial: cfg.Network.Dial,
 		}),
 		Codec: cfg.Codec, Log: cfg.Log.WithName("entry"), RequestLog: cfg.RequestLog,
 		RetryBudget: gateway.RetryBudgetConfig{
@@ -82,7 +82,7 @@
 		},
 		KeyRevocation: s.GetKeyRevocation().AsDuration(), QuotaWindow: s.GetQuotaWindow().AsDuration(),
 		OnRequestDone: func(x gateway.RequestStats) {
-			cfg.Metrics.Served(x.RouteKind, x.Outcome.String(), x.Status, x.Duration, x.TimeToFirstByte, x.Attempts)
+			cfg.Metrics.RouteRequest(x.RouteKind, x.Outcome.String(), x.Status, x.Duration, x.TimeToFirstByte, x.Attempts)
 			cfg.Metrics.TeamRequest(x.Team, x.Outcome.String())
 		},
 	})
--- a/internal/role/refusals.go
+++ b/internal/role/refusals.go
@@ -37,7 +37,7 @@
 // RecordRefusal logs and counts a message to the control host that was refused. what and
 // reason must be from small fixed sets.
 func (c *Control) RecordRefusal(what, reason string, err error) {
-	c.cfg.Metrics.Refused(what, reason)
+	c.cfg.Metrics.RefusedMessage(what, reason)
 	if c.refusalLog.allow(refusalKey{what, reason}) {
 		c.cfg.Log.Info("refused", "what", what, "reason", reason, "error", err.Error())
 	}
@@ -47,7 +47,7 @@
 // parsed; the other entries are used.
 func (c *Control) RecordSkippedEntries(server string, entries int) {
 	const what, reason = "announcement", "entries"
-	c.cfg.Metrics.Refused(what, reason)
+	c.cfg.Metrics.RefusedMessage(what, reason)
 	if c.refusalLog.allow(refusalKey{what, reason}) {
 		c.cfg.Log.Info("entries left out", "server", server, "entries", entries)
 	}
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -28,8 +28,8 @@
 	droppedMessage = "log lines dropped"
 )
 
-// ErrUnknown is returned if no log line names the request.
-var ErrUnknown = errors.New("no log line names this request")
+// ErrRequestNotFound is returned if no log line names the request.
+var ErrRequestNotFound = errors.New("no log line names this request")
 
 // Line is a parsed log line.
 type Line struct {
@@ -131,7 +131,7 @@
 	Dropped bool
 }
 
-// Collect returns the timeline of the request with an ID, or ErrUnknown.
+// Collect returns the timeline of the request with an ID, or ErrRequestNotFound.
 func Collect(id string, lines []*Line) (*Timeline, error) {
 	t := &Timeline{}
 	for _, l := range lines {
@@ -140,7 +140,7 @@
 		}
 	}
 	if len(t.Requests) == 0 {
-		return nil, errors.Newf("request %s: %w", id, ErrUnknown)
+		return nil, errors.Newf("request %s: %w", id, ErrRequestNotFound)
 	}
 	for _, l := range lines {
 		if l.Message == requestMessage {
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -35,7 +35,7 @@
 	require.Contains(t, got.StateChanges[1].String(), "leader lost error=silent")
 	require.False(t, got.Dropped)
 	_, err = timeline.Collect("44", lines)
-	require.ErrorIs(t, err, timeline.ErrUnknown)
+	require.ErrorIs(t, err, timeline.ErrRequestNotFound)
 }
 
 // TestEveryOutcomeHasACause tests that each outcome that can be logged for a request
