--- a/internal/role/api.go
+++ b/internal/role/api.go
@@ -23,7 +23,7 @@
 	// try another host after 1 s.
 	commitTimeout = 900 * time.Millisecond
 	// departureAckTimeout bounds how long a departing server waits for the entries to
-	// acknowledge its departure. The departure counts from the response on, and a leader
+	// acknowledge its departure. The departure takes effect with the response, and a leader
 	// short of CPU time updates entries seconds late; the server then repeats the call.
 	departureAckTimeout = 600 * time.Millisecond
 	// configurationAckTimeout bounds how long an operator waits for the entries after a
@@ -140,12 +140,12 @@
 	if _, err := c.group.ConfirmLeadership(ctx); err != nil {
 		return nil, errors.Newf("confirm: %v: %w", err, ErrUnavailable)
 	}
-	var head *schema.Configuration
-	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) { head = r.Configuration() })
-	if head == nil {
+	var configuration *schema.Configuration
+	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) { configuration = r.Configuration() })
+	if configuration == nil {
 		return nil, ErrNoConfiguration
 	}
-	return head.GetDocument(), nil
+	return configuration.GetDocument(), nil
 }
 
 // Announce handles a backend server's announcement. When it returns nil, the leader knows
@@ -193,8 +193,8 @@
 	}
 }
 
-// acceptsPool reports whether servers of a pool can be used. Without a configuration every
-// pool is accepted.
+// acceptsPool reports whether servers of a pool can be used. Without a configuration the
+// pools are not known yet, and every pool is accepted.
 func (c *Control) acceptsPool(name string) bool {
 	accepts := false
 	c.group.Ledger().View(func(_ ledger.Status, r *ledger.Records) {
--- a/internal/role/backends_test.go
+++ b/internal/role/backends_test.go
@@ -277,8 +277,8 @@
 	return len(b.crashes)
 }
 
-// lateArrivals returns how often the harmful request reached a server later than some time
-// after its third crash.
+// lateArrivals returns how often the harmful request reached a server more than delay after
+// its third crash.
 func (b *backends) lateArrivals(delay time.Duration) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/role/changes.go
+++ b/internal/role/changes.go
@@ -26,7 +26,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var current uint64
-	l.View(func(h ledger.Status, _ *ledger.Records) { current = h.Index })
+	l.View(func(s ledger.Status, _ *ledger.Records) { current = s.Index })
 	if c.encoded == nil || current != c.revision {
 		c.revision, c.encoded = current, map[uint64][]byte{}
 	}
--- a/internal/role/control.go
+++ b/internal/role/control.go
@@ -34,8 +34,8 @@
 	// a host with a quarter of a core spends a few hundredths of it on heartbeats.
 	heartbeatInterval = 100 * time.Millisecond
 	electionTimeout   = 600 * time.Millisecond
-	// silentHeartbeats is the number of unanswered heartbeats after which a voter is
-	// replaced by a host that is waiting to join.
+	// silentHeartbeats is the number of heartbeats without a response after which a voter
+	// is replaced by a host that is waiting to join.
 	silentHeartbeats = 25
 	// snapshotAfterEntries keeps the log short: each log entry may be a configuration of
 	// several hundred KB, and the disk has 128 MB.
@@ -74,13 +74,13 @@
 	leaderDialer, orderDialer *peer.Dialer
 	group                     *control.Group
 	// roster is the state of backend servers and hosts while this host leads, and mirror
-	// the state received from the leader. subscribers are the entries subscribed to this
-	// host, and announcements those of servers that announced themselves here.
+	// the state received from the leader. announcements forwards the announcements of
+	// servers to the leader, and subscribers are the entries subscribed to this host.
 	roster        *roster.Roster
 	mirror        *roster.Mirror
 	announcements *roster.AnnouncementForwarder
 	subscribers   *subscription.Registry
-	// suspects are the requests known to have crashed their servers.
+	// suspects are the requests suspected of crashing their servers.
 	suspects *quarantine.SuspectSet
 	// restoredTerm is the last term in which the recorded suspects were restored.
 	restoredTerm atomic.Uint64
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -81,9 +81,9 @@
 			Ratio: s.GetRepeatRatio(), Window: s.GetRepeatWindow().AsDuration(), Burst: int(s.GetRepeatSlack()),
 		},
 		KeyRevocation: s.GetKeyRevocation().AsDuration(), QuotaWindow: s.GetQuotaWindow().AsDuration(),
-		OnRequestDone: func(x gateway.RequestStats) {
-			cfg.Metrics.RouteRequest(x.RouteKind, x.Outcome.String(), x.Status, x.Duration, x.TimeToFirstByte, x.Attempts)
-			cfg.Metrics.TeamRequest(x.Team, x.Outcome.String())
+		OnRequestDone: func(r gateway.RequestStats) {
+			cfg.Metrics.RouteRequest(r.RouteKind, r.Outcome.String(), r.Status, r.Duration, r.TimeToFirstByte, r.Attempts)
+			cfg.Metrics.TeamRequest(r.Team, r.Outcome.String())
 		},
 	})
 	e.registerGauges()
@@ -95,7 +95,7 @@
 }
 
 func (e *Entry) registerGauges() {
-	for _, x := range []struct {
+	for _, gauge := range []struct {
 		name, help string
 		read       func(gateway.State) float64
 	}{
@@ -108,13 +108,13 @@
 		{"control_host_streams", "Streams to control hosts since the start.", func(s gateway.State) float64 { return float64(s.Subscriptions) }},
 		{"leader_age_seconds", "Time since the leader spoke; below 0: never.", func(s gateway.State) float64 { return s.LeaderAge.Seconds() }},
 	} {
-		e.cfg.Metrics.Gauge(x.name, x.help, func() float64 { return x.read(e.gateway.State()) })
+		e.cfg.Metrics.Gauge(gauge.name, gauge.help, func() float64 { return gauge.read(e.gateway.State()) })
 	}
 	e.cfg.Metrics.Gauge("requests_at_hand", "Requests of callers at hand.", func() float64 { return float64(e.gateway.InFlight()) })
 }
 
 func (e *Entry) listen(s *schema.JoinSettings) error {
-	for _, x := range []struct {
+	for _, endpoint := range []struct {
 		address string
 		handler http.Handler
 		callers bool
@@ -123,16 +123,16 @@
 		{s.GetReadyAddress(), e.cfg.Ready(e), false},
 		{s.GetDirectoryAddress(), e.cfg.Directory(e), false},
 	} {
-		if x.address == "" {
+		if endpoint.address == "" {
 			continue
 		}
-		l, err := e.cfg.Network.Listen("tcp", x.address)
+		l, err := e.cfg.Network.Listen("tcp", endpoint.address)
 		if err != nil {
 			return errors.Newf("listen: %w", err)
 		}
-		server := newServer(x.handler)
+		server := newServer(endpoint.handler)
 		e.servers = append(e.servers, server)
-		if x.callers {
+		if endpoint.callers {
 			e.callerServer, e.callerListener = server, l
 		}
 		e.wg.Add(1)
--- a/internal/role/entry_session.go
+++ b/internal/role/entry_session.go
@@ -267,9 +267,8 @@
 // ageMs returns the time since a moment in milliseconds, rounded up.
 func ageMs(at time.Time) int64 { return time.Since(at).Milliseconds() + 1 }
 
-// maxForecastAge is the age up to which a load forecast from the leader answers a query.
-// The leader sends all forecasts anew after each of this host's reports, ten times a
-// second.
+// maxForecastAge is how much older than a query a forecast from the leader may be. The
+// leader sends all forecasts again after each of this host's reports, ten times a second.
 const maxForecastAge = 150 * time.Millisecond
 
 // forecasts returns those of the leader's forecasts for a query that this host has
--- a/internal/role/follow.go
+++ b/internal/role/follow.go
@@ -26,8 +26,8 @@
 	// leaderPollInterval is how often a host checks whether another host leads.
 	leaderPollInterval = 25 * time.Millisecond
 	// minReportInterval is the shortest time between two reports of a host to the leader;
-	// demand of entries in between is sent in one report. Nine hosts send at most 360
-	// reports a second.
+	// the demand that entries report in between is sent in one report. Nine hosts send at
+	// most 360 reports a second.
 	minReportInterval = 25 * time.Millisecond
 )
 
--- a/internal/role/harmful_test.go
+++ b/internal/role/harmful_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxHoldBackDelay is the time after its third crash from which on a request must reach
-	// no server from an entry in sync.
+	// maxHoldBackDelay is the time after a request has crashed its third server by which all
+	// entries in sync must hold it back.
 	maxHoldBackDelay = 3 * time.Second
 	// maxLateArrivals is how often it may reach a server later all the same.
 	maxLateArrivals = 3
@@ -76,7 +76,7 @@
 }
 
 // Many callers send the same request, one path with an empty body, when all three servers
-// crash at once, as in the loss of a rack. The request was in flight at all of them, but it
+// end at once, as in the loss of a rack. The request was in flight at all of them, but it
 // had completed at every entry a moment before and so can't be the cause. If it were held
 // back, all of its callers would be refused for minutes after the servers are back.
 func TestPopularRequestIsNotHeldBack(t *testing.T) {
--- a/internal/role/host_session.go
+++ b/internal/role/host_session.go
@@ -180,6 +180,6 @@
 
 // appliedIndex returns the index up to which this host has applied the log.
 func (c *Control) appliedIndex() (index uint64) {
-	c.group.Ledger().View(func(h ledger.Status, _ *ledger.Records) { index = h.Index })
+	c.group.Ledger().View(func(s ledger.Status, _ *ledger.Records) { index = s.Index })
 	return index
 }
--- a/internal/role/http.go
+++ b/internal/role/http.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// The limits cut off slow senders, a few of which could otherwise occupy all
+	// readHeaderTimeout cuts off slow senders, a few of which could otherwise occupy all
 	// connections. The limits documented for callers are shorter.
 	readHeaderTimeout = 15 * time.Second
 	// idleTimeout is longer than callers keep a connection idle.
@@ -22,7 +22,7 @@
 	return &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes}
 }
 
-// serve returns when the server is closed.
+// serve serves HTTP on a listener until the server is closed, and logs any other end.
 func serve(s *http.Server, l net.Listener, log logr.Logger) {
 	if err := s.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 		log.Error(err, "listener ended", "address", l.Addr().String())
--- a/internal/role/in_sync.go
+++ b/internal/role/in_sync.go
@@ -20,14 +20,14 @@
 // lagDetector detects that a control host's log lags. The zero value is ready to use.
 type lagDetector struct {
 	mu sync.Mutex
-	// target is the index that the log must have applied by targetSince plus lagTolerance,
-	// or 0. Both are guarded by mu.
+	// target is the log index that must be applied by targetSince plus lagTolerance, or 0
+	// while the host does not lag. Both are guarded by mu.
 	target      uint64
 	targetSince time.Time
 }
 
-// exceeded reports whether a host lags, from its applied index and the leader's applied
-// index at its last update.
+// exceeded reports whether a host has lagged for more than lagTolerance, given its applied
+// index and the leader's applied index at the leader's last update.
 func (l *lagDetector) exceeded(applied, leaderApplied uint64, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,8 +47,8 @@
 }
 
 // announcementGrace is how much longer a host without updates from the leader accepts
-// announcements for it, while the group knows which host leads. It is shorter than the
-// silence after which a server is considered gone.
+// announcements for it, while its group member knows which host leads. It is shorter than
+// the silence after which a server is considered gone.
 const announcementGrace = 1200 * time.Millisecond
 
 // relaysAnnouncements reports whether announcements accepted by this host reach the leader,
--- a/internal/role/leader_bench_test.go
+++ b/internal/role/leader_bench_test.go
@@ -151,7 +151,7 @@
 	return &schema.Pool{Name: "llm", Engine: spec}
 }
 
-// loadGenerator plays one entry, or all entries of a control host together.
+// loadGenerator simulates one entry, or a control host with all of its entries.
 type loadGenerator struct {
 	fleet   *fakeFleet
 	number  int
@@ -208,8 +208,8 @@
 	}
 }
 
-// runEntry plays one entry at a control host. It reports its requests, those that wait for
-// a model, and three times a second its loads at the engines.
+// runEntry simulates one entry at a control host. It reports its requests, those that wait
+// for a model, and three times a second its loads at the engines.
 func (g *loadGenerator) runEntry(ctx context.Context, client schema.PeerClient) error {
 	stream, err := client.Attend(ctx)
 	if err != nil {
@@ -246,7 +246,7 @@
 	}
 }
 
-// runHost plays a control host with its own entries.
+// runHost simulates a control host with its own entries.
 func (g *loadGenerator) runHost(ctx context.Context, client schema.PeerClient, entries int) error {
 	stream, err := client.Follow(ctx)
 	if err != nil {
@@ -287,7 +287,7 @@
 //	go test ./internal/role -run xxx -bench Leader/entries-300 -benchtime 1x -cpuprofile p
 //	go tool pprof -top -tagfocus role=leader p
 //
-// shows the CPU time of the leader.
+// shows where the leader spends CPU time.
 func BenchmarkLeader(b *testing.B) {
 	for _, entries := range []int{30, 100, 300, 640} {
 		b.Run(fmt.Sprint("entries-", entries), func(b *testing.B) {
--- a/internal/role/orders_test.go
+++ b/internal/role/orders_test.go
@@ -87,9 +87,9 @@
 	return ip
 }
 
-// The leader is lost while models are loaded in advance. The next leader must send orders
-// to each engine through the order holder from before, so that no engine receives orders
-// from two hosts in turn; only the engines of the lost host get a new order holder.
+// The leader is lost while models are preloaded. The next leader must send orders to each
+// engine through its previous order holder, so that no engine receives orders from two
+// hosts in turn; only the engines of the lost host get a new order holder.
 func TestOrderHolderSurvivesALeaderChange(t *testing.T) {
 	ips := []string{"127.0.9.1", "127.0.9.2", "127.0.9.3"}
 	c := newCluster(t, ips...)
--- a/internal/role/pacer.go
+++ b/internal/role/pacer.go
@@ -17,8 +17,8 @@
 	// nextLogChange and nextRosterChange return channels that are closed at the next change
 	// of either, and nextForecasts one that is closed when more forecasts arrive.
 	nextLogChange, nextRosterChange, nextForecasts func() <-chan struct{}
-	// nextSuspectChange returns a channel that is closed when a request that crashes its
-	// servers is held back or released.
+	// nextSuspectChange returns a channel that is closed when a suspect request is held
+	// back or released.
 	nextSuspectChange func() <-chan struct{}
 	// hasForecast reports whether there are forecasts for the targets of a query.
 	hasForecast func(forecastQuery) bool
@@ -82,9 +82,9 @@
 	p.queries <- forecastQuery{waiting, time.Now()}
 }
 
-// awaitDue waits until the next update is due: at once if requests at the peer wait for a
-// change or need a forecast of it, otherwise when changes have been batched. It returns
-// false when the stream ends.
+// awaitDue waits until the next update is due: at once if there is a change or a forecast
+// that requests at the peer wait for, otherwise when changes have been batched or the
+// interval is over. It returns false when the stream ends.
 func (p *updatePacer) awaitDue(ctx context.Context) bool {
 	p.urgent = false
 	batchTimer := time.NewTimer(p.batchDelay())
--- a/internal/role/pacer_test.go
+++ b/internal/role/pacer_test.go
@@ -33,7 +33,7 @@
 	})
 }
 
-// toggleModel loads and unloads a model at an engine that no caller waits for.
+// toggleModel repeatedly loads and unloads a model that no caller waits for.
 func toggleModel(r *roster.Roster, during time.Duration) {
 	for start := time.Now(); time.Since(start) < during; {
 		r.SetModels("i-1", []*schema.HeldModel{{Name: "other"}})
--- a/internal/role/recorded_servers.go
+++ b/internal/role/recorded_servers.go
@@ -11,13 +11,14 @@
 	"fennelyard/internal/schema"
 )
 
-// recordInterval is how often the leader records which backend servers came and went. The
-// next leader receives an unrecorded change from the server itself; at the largest
-// deployment in use 115 servers are one record of 10 KB.
+// recordInterval is how often the leader records changes of the backend servers and of the
+// suspect requests. The next leader receives an unrecorded change of a server from the
+// server itself; at the largest deployment in use 115 servers are one record of 10 KB.
 const recordInterval = time.Second
 
-// recordServers records which backend servers came and went. A new leader that has not yet
-// received announcements of all servers would remove the others, so it waits.
+// recordServers records which backend servers were added and removed. A new leader waits
+// until it has received announcements of all servers; until then it would remove the
+// missing ones.
 func (c *Control) recordServers() {
 	recorded := c.recordedServers()
 	if len(recorded) > 0 && !c.roster.Settled() {
@@ -43,10 +44,10 @@
 	changes := &schema.RememberServers{}
 	present := c.roster.ReadyServers()
 	for _, k := range recorded {
-		switch now := present[k.GetId()]; {
-		case now == nil:
+		switch current := present[k.GetId()]; {
+		case current == nil:
 			changes.Forgotten = append(changes.Forgotten, k.GetId())
-		case proto.Equal(now, k):
+		case proto.Equal(current, k):
 			delete(present, k.GetId())
 		}
 	}
--- a/internal/role/refusals.go
+++ b/internal/role/refusals.go
@@ -17,7 +17,7 @@
 	lastLogged map[refusalKey]time.Time
 }
 
-type refusalKey struct{ what, reason string }
+type refusalKey struct{ kind, reason string }
 
 // allow reports whether a refusal is to be logged now.
 func (r *refusalLogLimiter) allow(key refusalKey) bool {
@@ -34,21 +34,21 @@
 	return true
 }
 
-// RecordRefusal logs and counts a message to the control host that was refused. what and
-// reason must be from small fixed sets.
-func (c *Control) RecordRefusal(what, reason string, err error) {
-	c.cfg.Metrics.RefusedMessage(what, reason)
-	if c.refusalLog.allow(refusalKey{what, reason}) {
-		c.cfg.Log.Info("refused", "what", what, "reason", reason, "error", err.Error())
+// RecordRefusal logs and counts a message to the control host that was refused. The kind of
+// message and the reason must be from small fixed sets.
+func (c *Control) RecordRefusal(kind, reason string, err error) {
+	c.cfg.Metrics.RefusedMessage(kind, reason)
+	if c.refusalLog.allow(refusalKey{kind, reason}) {
+		c.cfg.Log.Info("refused", "what", kind, "reason", reason, "error", err.Error())
 	}
 }
 
-// RecordSkippedEntries logs and counts entries of a server's lists that could not be
-// parsed; the other entries are used.
-func (c *Control) RecordSkippedEntries(server string, entries int) {
-	const what, reason = "announcement", "entries"
-	c.cfg.Metrics.RefusedMessage(what, reason)
-	if c.refusalLog.allow(refusalKey{what, reason}) {
-		c.cfg.Log.Info("entries left out", "server", server, "entries", entries)
+// RecordSkippedEntries logs and counts the items of a server's lists that could not be
+// parsed; the other items are used.
+func (c *Control) RecordSkippedEntries(server string, items int) {
+	const kind, reason = "announcement", "entries"
+	c.cfg.Metrics.RefusedMessage(kind, reason)
+	if c.refusalLog.allow(refusalKey{kind, reason}) {
+		c.cfg.Log.Info("entries left out", "server", server, "entries", items)
 	}
 }
--- a/internal/role/schedule_test.go
+++ b/internal/role/schedule_test.go
@@ -31,9 +31,9 @@
 	scheduleSettleLimit = 8 * time.Second
 	scheduleStep        = 50 * time.Millisecond
 	changeInterval      = 500 * time.Millisecond
-	// faultKinds is the number of kinds of fault, and originalFaultKinds the number without
-	// stalled disks and added entries: seeds that failed with the latter are run as they
-	// were.
+	// faultKinds is the number of kinds of fault, and originalFaultKinds the number before
+	// stalled disks and added entries were among them: seeds that failed then are run with
+	// the same kinds.
 	faultKinds, originalFaultKinds = 10, 8
 )
 
@@ -248,7 +248,7 @@
 	}
 }
 
-// randomHost returns the leader half of the time.
+// randomHost returns the leader half of the time, and otherwise any control host.
 func (s *schedule) randomHost() string {
 	if leader := s.leader(); leader != "" && s.random.Intn(2) == 0 {
 		return leader
@@ -315,8 +315,8 @@
 	}
 }
 
-// partitionHost partitions a control host from the other control hosts, in both directions
-// or in one; entries reach it.
+// partitionHost partitions a control host from the other control hosts; entries reach it.
+// Direction 0 cuts both directions, 1 only messages to the host, 2 only those from it.
 func (s *schedule) partitionHost(ip string, length time.Duration, direction int) {
 	s.tracef("%s is partitioned, direction %d", ip, direction)
 	s.lostHosts[ip] = true
--- a/internal/role/subscribers_test.go
+++ b/internal/role/subscribers_test.go
@@ -196,7 +196,7 @@
 			return least, most
 		}
 		d.await(time.Second, "four servers known", func() bool { least, _ := knownServers(); return least == 4 })
-		require.NoError(t, leader.Depart(context.Background(), "i-unheard"))
+		require.NoError(t, leader.Depart(context.Background(), "i-unknown"))
 		for i := range 4 {
 			require.NoError(t, leader.Depart(context.Background(), fmt.Sprint("i-", i)))
 			for ip, e := range d.entries {
--- a/internal/role/suspects.go
+++ b/internal/role/suspects.go
@@ -60,8 +60,8 @@
 	return out
 }
 
-// recordSuspects records which requests crash their servers: entries and hosts know them,
-// but may all lose power at once.
+// recordSuspects records the requests that are likely to crash their servers: entries and
+// hosts know them, but may all lose power at once.
 func (c *Control) recordSuspects() {
 	c.restoreSuspects(c.group.Status().Term)
 	changes := c.suspectChanges()
@@ -99,7 +99,7 @@
 	return changes
 }
 
-// sameEndedServers reports whether two suspects ended the same servers.
+// sameEndedServers reports whether two records of a suspect list the same ended servers.
 func sameEndedServers(one, other *schema.Suspect) bool {
 	return slices.EqualFunc(one.GetEnded(), other.GetEnded(), func(a, b *schema.EndedServer) bool { return proto.Equal(a, b) })
 }
