--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -114,8 +114,9 @@
 	}
 }
 
-// ReportRequested receives when a report to the leader is due at once: new requests wait,
-// or all entries have acknowledged what a pending change may wait for.
+// ReportRequested returns a channel that has a token while a report to the leader is due at
+// once, as when requests wait for a new target, or all entries have acknowledged what a
+// pending change may wait for.
 func (r *Registry) ReportRequested() <-chan struct{} { return r.reportRequested }
 
 // RequestReport makes a report to the leader due at once.
@@ -127,7 +128,7 @@
 }
 
 // Subscribe adds an entry with its stream to this host. Stream numbers increase, and number
-// is the entry's own.
+// is the entry's own count of its streams.
 func (r *Registry) Subscribe(stream uint64, entry *schema.RosterEntry, number uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -325,7 +326,8 @@
 	}
 }
 
-// ResetReported forgets what was reported: the next report, to another leader, is complete.
+// ResetReported clears the record of what was reported: the next report, to another leader,
+// is complete.
 func (r *Registry) ResetReported() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -352,7 +354,8 @@
 	return report
 }
 
-// entriesBehind names entries that limit the reported progress; mu is held.
+// entriesBehind returns the names of up to maxBehindNames entries that limit the reported
+// progress; mu is held.
 func (r *Registry) entriesBehind(acked, own Progress) []string {
 	if acked == own {
 		return nil
@@ -418,9 +421,9 @@
 // listEntries returns all entries that are not silent; mu is held.
 func (r *Registry) listEntries() []*schema.AttendingEntry {
 	out := []*schema.AttendingEntry{}
-	for _, a := range r.subscriptions {
-		if !a.silent {
-			out = append(out, &schema.AttendingEntry{Entry: a.entry, Stopping: a.stopping, Stream: a.number})
+	for _, s := range r.subscriptions {
+		if !s.silent {
+			out = append(out, &schema.AttendingEntry{Entry: s.entry, Stopping: s.stopping, Stream: s.number})
 		}
 	}
 	slices.SortFunc(out, func(a, b *schema.AttendingEntry) int {
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -28,7 +28,7 @@
 	return subscription.Progress{Known: roster.Position{Term: 1, Change: change}, Revision: revision}
 }
 
-// listedEntries resets the registry and returns the entries reported to accept callers.
+// listedEntries makes the next report complete and returns its entries that accept callers.
 func listedEntries(r *subscription.Registry) []string {
 	r.ResetReported()
 	out := []string{}
