--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -81,8 +81,8 @@
 }
 
 // Unreported returns the announcements to report to the leader, sorted by server
-// name. One that did not change otherwise has only the fields that change with each
-// announcement. Servers whose announcement has expired are removed.
+// name. If only the sequence and load of a server changed, its announcement contains
+// only these and identifies the server. Expired announcements are removed.
 func (r *Registry) Unreported(now time.Time) []*schema.Announcement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -27,6 +27,7 @@
 	// connections work.
 	keepaliveTime    = 2 * time.Second
 	keepaliveTimeout = 2 * time.Second
+	// minKeepaliveTime is the shortest ping interval that a server accepts from clients.
 	minKeepaliveTime = time.Second
 	maxDialBackoff   = 500 * time.Millisecond
 	// maxTimeouts is the number of consecutive calls that time out on a connection
