--- a/internal/role/entry_session.go
+++ b/internal/role/entry_session.go
@@ -311,11 +311,11 @@
 }
 
 func withoutDocument(rec *schema.Record) *schema.Record {
-	head := rec.GetConfiguration()
-	if head == nil {
+	c := rec.GetConfiguration()
+	if c == nil {
 		return rec
 	}
 	return &schema.Record{Key: rec.GetKey(), Revision: rec.GetRevision(), Value: &schema.Record_Configuration{
-		Configuration: &schema.Configuration{Version: head.GetVersion(), Limits: head.GetLimits(), KeySalt: head.GetKeySalt()},
+		Configuration: &schema.Configuration{Version: c.GetVersion(), Limits: c.GetLimits(), KeySalt: c.GetKeySalt()},
 	}}
 }
