--- a/internal/gateway/access.go
+++ b/internal/gateway/access.go
@@ -14,7 +14,8 @@
 
 // access holds the permissions of a request by its API key.
 type access struct {
-	// team is nil if the route is anonymous and the request carries no known key.
+	// team is nil if the request needs no key, as its route is anonymous or no teams are configured,
+	// and carries no known one.
 	team *schema.Team
 	// cost is the amount counted against the team's quota, 0 for none.
 	cost float64
--- a/internal/gateway/access_test.go
+++ b/internal/gateway/access_test.go
@@ -40,8 +40,8 @@
 	}
 	c := configuration(version, all...)
 	c.GetRecords()[0].GetConfiguration().KeySalt = keySalt
-	for _, x := range teams {
-		c.Records = append(c.Records, &schema.Record{Key: ledger.TeamKey(x.GetName()), Value: &schema.Record_Team{Team: x}})
+	for _, t := range teams {
+		c.Records = append(c.Records, &schema.Record{Key: ledger.TeamKey(t.GetName()), Value: &schema.Record_Team{Team: t}})
 	}
 	return c
 }
@@ -72,7 +72,7 @@
 // TestAPIKeys checks which requests run by key, route and age of the configuration's
 // confirmation. A rejected request reaches no server.
 func TestAPIKeys(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		path, key       string
 		confirmationAge time.Duration
 		want            int
@@ -94,13 +94,13 @@
 		t.Run(name, func(t *testing.T) {
 			a := newBackend(t, respondOK)
 			tg := newTestGatewayWithTeams(t, []*schema.Team{teamWithKeys("a", nil, "k1"), teamWithKeys("b", nil, "k2")}, a)
-			tg.g.SetConfirmationAge(x.confirmationAge)
-			require.Equal(t, x.want, tg.callWithKey(t, x.path, x.key).status)
-			if x.want != http.StatusOK {
+			tg.g.SetConfirmationAge(test.confirmationAge)
+			require.Equal(t, test.want, tg.callWithKey(t, test.path, test.key).status)
+			if test.want != http.StatusOK {
 				require.Zero(t, a.requests.Load())
 				return
 			}
-			require.Equal(t, x.team, a.header("X-Team"))
+			require.Equal(t, test.team, a.header("X-Team"))
 		})
 	}
 }
@@ -125,7 +125,7 @@
 	tg := newTestGateway(t, newBackend(t, respondOK))
 	time.Sleep(30 * time.Millisecond)
 	require.GreaterOrEqual(t, tg.g.RecordConfirmation(20*time.Millisecond, 10*time.Millisecond), 20*time.Millisecond)
-	// The update that acknowledges an earlier message arrives last.
+	// The update that acknowledges an earlier report arrives last.
 	age := tg.g.RecordConfirmation(time.Millisecond, 0)
 	require.Less(t, age, tg.g.RecordConfirmation(time.Millisecond, 10*time.Second)+time.Second)
 }
--- a/internal/gateway/attempt_timer.go
+++ b/internal/gateway/attempt_timer.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// minAttemptTimeout is the shortest timeout of an attempt without a response that can be
-	// retried elsewhere: the longest time that a healthy server takes for a short request.
+	// minAttemptTimeout is the least time without a response after which a retryable request is
+	// sent to another server, unless its deadline is near: the longest time that a healthy server
+	// takes for a short request.
 	minAttemptTimeout = 450 * time.Millisecond
-	// attemptRecheckInterval is how often an attempt that has timed out checks for a retry: the
-	// budget refills, and other servers become free.
+	// attemptRecheckInterval is how often an attempt that has timed out checks whether it can be
+	// retried: the budget refills, and other servers become free.
 	attemptRecheckInterval = 100 * time.Millisecond
 )
 
@@ -75,7 +76,7 @@
 		return &attemptTimer{}
 	}
 	aim := time.Duration(x.route.GetAimMs()) * time.Millisecond
-	// The timer runs concurrently with the attempt, so that it uses a copy.
+	// The timer runs concurrently with the attempt, which changes x.excluded: it needs a copy.
 	excluded := append([]string{x.server.id}, x.excluded...)
 	return newAttemptTimer(min(max(aim*3/2, minAttemptTimeout), remaining*2/3), cancel, func() bool {
 		now := time.Now()
--- a/internal/gateway/attempt_timer_test.go
+++ b/internal/gateway/attempt_timer_test.go
@@ -17,7 +17,7 @@
 // canceled: otherwise the caller's stream is interrupted right after its start although the
 // server works.
 func TestAttemptTimerStopsOrExpires(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		delay time.Duration
 		stops bool
 	}{
@@ -28,11 +28,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				canceled := false
 				timer := gateway.NewAttemptTimer(450*time.Millisecond, func() { canceled = true }, func() bool { return true })
-				time.Sleep(x.delay)
-				require.Equal(t, x.stops, timer.Stop())
+				time.Sleep(test.delay)
+				require.Equal(t, test.stops, timer.Stop())
 				time.Sleep(time.Second)
 				synctest.Wait()
-				require.Equal(t, !x.stops, canceled)
+				require.Equal(t, !test.stops, canceled)
 			})
 		})
 	}
--- a/internal/gateway/backlog.go
+++ b/internal/gateway/backlog.go
@@ -38,9 +38,9 @@
 
 // rejectedByBacklog rejects a request at once if its engine, the best one available, has so
 // much pending prefill that the response would be late or never start; the request would also
-// delay those behind it. The Retry-After is when the engine should have processed about half of
-// what a request may wait for, plus a random delay, so that the callers don't all return at the
-// same time.
+// delay those behind it. The Retry-After is the time until the queued prefill should have shrunk
+// to half of the aim, about half of what a request may wait for, plus a random delay, so that
+// the callers don't all return at the same time.
 func (x *exchange) rejectedByBacklog() bool {
 	if x.info.Model == "" || x.runs > 0 {
 		return false
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -17,8 +17,8 @@
 	Burst  int
 }
 
-// retryBudget is this entry's share of the retry budget of one pool. A request deposits its
-// ratio. The burst is divided between the entries: one half is the limit of the balance, the
+// retryBudget is this entry's share of the retry budget of one pool. Each request deposits
+// Ratio retries. The burst is divided between the entries: one half is the limit of the balance, the
 // other half refills over a window, so that no window exceeds the whole. The balance starts at
 // 0, as an earlier process of this entry may have spent it.
 type retryBudget struct {
@@ -42,7 +42,7 @@
 	b.refilledAt = now
 }
 
-// deposit adds the share of one request.
+// deposit adds the part of a retry that one request contributes.
 func (b *retryBudget) deposit(now time.Time, entries int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -29,16 +29,18 @@
 	OutputTokens int
 	// TokensDeclared is set if the request declares its tokens.
 	TokensDeclared bool
-	// LastEventID is the last event that the caller received of an earlier response; 0: none.
+	// LastEventID is the id of the last event that the caller received of an earlier response; 0:
+	// none.
 	LastEventID int64
 }
 
 // ForwardInfo holds the attributes that are added to a request to a backend server.
 type ForwardInfo struct {
 	// Server is the id of the server that the request is for.
-	Server  string
+	Server string
+	// Timeout is the time left until the caller's deadline.
 	Timeout time.Duration
-	// LastEventID is the last event that need not be sent again; 0: all are needed.
+	// LastEventID is the id of the last event that need not be sent again; 0: all are needed.
 	LastEventID int64
 	// Priority ranges from 0, the highest, to 9.
 	Priority int
@@ -62,6 +64,6 @@
 type Codec struct {
 	ParseRequest     func(*http.Request) RequestInfo
 	SetForwardHeader func(http.Header, ForwardInfo)
-	MatchesRequest   func(answer http.Header, id string) bool
-	ParseResponse    func(status int, answer http.Header) ResponseInfo
+	MatchesRequest   func(response http.Header, id string) bool
+	ParseResponse    func(status int, response http.Header) ResponseInfo
 }
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -136,7 +136,8 @@
 // randomSteps is the resolution of the random estimates.
 const randomSteps = 1024
 
-// affinityKey identifies what a request shares with others: the prompt part before its own one.
+// affinityKey identifies what a request shares with others: the last prompt part before its own
+// one.
 func affinityKey(info *RequestInfo) string {
 	switch n := len(info.PromptParts); n {
 	case 0:
--- a/internal/gateway/choose_test.go
+++ b/internal/gateway/choose_test.go
@@ -94,8 +94,8 @@
 }
 
 // The streams of short prompts pause too long at engines that process long prompts between
-// their events. They go to engines with little prefill on average, even if the other engine has
-// none pending at the moment.
+// their events. They go to engines with little prefill on average, even if none is pending at
+// the busier engine at the moment.
 func TestShortPromptsAvoidEnginesWithLongPrefill(t *testing.T) {
 	e := gateway.NewEngines(9)
 	e.SetMinGap(500 * time.Millisecond)
@@ -111,7 +111,7 @@
 	require.Equal(t, first, e.Choose(shortRequest("p")))
 }
 
-// The load in the leader's updates includes what this entry reported, which must not count
+// The load in the leader's updates includes what this entry reported; that must not count
 // twice.
 func TestOwnLoadCountsOnce(t *testing.T) {
 	e := gateway.NewEngines(9)
@@ -150,7 +150,7 @@
 // holds with an occasional long prompt. With engines that are ten times as fast, a prompt of
 // the same length is not long: it goes where the part that all prompts share is cached.
 func TestShortPromptsUseAllEngines(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		longEvery  int
 		rate       float64
 		request    func(string) *gateway.RequestInfo
@@ -162,18 +162,18 @@
 	} {
 		e := gateway.NewEngines(6)
 		e.SetMinGap(500 * time.Millisecond)
-		e.ObservePrefillRate(x.rate)
+		e.ObservePrefillRate(test.rate)
 		for i := range 400 {
-			if i%x.longEvery == x.longEvery-1 {
+			if i%test.longEvery == test.longEvery-1 {
 				e.Serve(longRequest(fmt.Sprint(i)))
 			}
-			e.Serve(x.request(fmt.Sprint(i)))
+			e.Serve(test.request(fmt.Sprint(i)))
 		}
 		seen := map[string]bool{}
 		for i := range 60 {
-			seen[e.Choose(x.request(fmt.Sprint(i)))] = true
+			seen[e.Choose(test.request(fmt.Sprint(i)))] = true
 		}
-		require.GreaterOrEqual(t, len(seen), x.minEngines, name)
+		require.GreaterOrEqual(t, len(seen), test.minEngines, name)
 	}
 }
 
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -16,7 +16,7 @@
 
 // loadForecast is the leader's forecast of when a target that requests wait for is loaded.
 type loadForecast struct {
-	at time.Time
+	receivedAt time.Time
 	// ready is the expected time; the zero time: no load is planned.
 	ready time.Time
 }
@@ -33,14 +33,14 @@
 // safe for concurrent use.
 type demandTracker struct {
 	// urgent holds a token if a report should leave at once, deferred if one should leave before
-	// the next report interval.
+	// the report interval has elapsed.
 	urgent, deferred chan struct{}
 
 	mu sync.Mutex
 	// unreported is the demand since the last report; guarded by mu, as are all fields below.
 	unreported map[target]demandSample
 	waiting    map[target]int
-	// reportedWaiting holds the targets that are reported as waited for.
+	// reportedWaiting holds the targets for which waiting requests were reported.
 	reportedWaiting map[target]bool
 	forecasts       map[target]loadForecast
 }
@@ -72,10 +72,10 @@
 }
 
 // addWaiting adds n requests that wait for a target; n is negative when they stop waiting. A
-// target that is not yet reported as waited for is reported at once, more requests for it after
-// a delay that grows with the number of entries that subscribe to the host: with a report for
-// each request, 291 entries under load sent 5,000 reports a second to hosts that then had no
-// time left to elect a leader.
+// request for a target without reported waiting requests is reported at once, further ones after
+// a delay that grows with the number of entries that subscribe to the host: with an immediate
+// report for each request, 291 entries with many waiting requests sent 5,000 reports a second to
+// hosts that then had no time left to elect a leader.
 func (d *demandTracker) addWaiting(t target, n int) {
 	d.mu.Lock()
 	d.waiting[t] += n
@@ -106,7 +106,7 @@
 }
 
 // collect returns the unreported demand. Targets with waiting requests are included each time,
-// targets that are no longer waited for once.
+// targets that no longer have any once.
 func (d *demandTracker) collect() []*schema.ModelDemand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -144,7 +144,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, f := range forecasts {
-		forecast := loadForecast{at: now}
+		forecast := loadForecast{receivedAt: now}
 		if f.GetReadyInMs() >= 0 {
 			forecast.ready = now.Add(time.Duration(f.GetReadyInMs()) * time.Millisecond)
 		}
@@ -159,5 +159,5 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f, ok := d.forecasts[t]
-	return f, ok && f.at.After(since.Add(-reportInterval))
+	return f, ok && f.receivedAt.After(since.Add(-reportInterval))
 }
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -132,8 +132,8 @@
 	return x.authorize() && x.readBody()
 }
 
-// readBody reads the body once. It sends the response itself and returns false if the body is
-// broken or exceeds the limit of the configuration.
+// readBody reads the body once. It sends the response itself and returns false if the body
+// cannot be read or exceeds the limit of the configuration.
 func (x *exchange) readBody() bool {
 	limit := int64(defaultMaxBodyBytes)
 	if x.table != nil && x.table.limits.GetMaxBodyBytes() > 0 {
@@ -156,8 +156,8 @@
 // awaitTable returns the current route table, nil if there is none. A request at a newly
 // started entry waits for the first configuration: it arrives as soon as the control group has
 // a leader, and a caller that is rejected with a Retry-After in the meantime is mostly rejected
-// again. An entry that is partitioned from the group after that rejects at once, as it cannot
-// know when a configuration will arrive.
+// again. If there is still none startupWait after the start, requests are rejected at once: the
+// entry is partitioned from the group and cannot know when a configuration will arrive.
 func (x *exchange) awaitTable() *routeTable {
 	if t := x.g.table.Load(); t != nil {
 		return t
@@ -280,8 +280,8 @@
 		}
 	}()
 	onFirstEvent := func() {
-		// The load of other entries at the server is known only with a delay and would distort the
-		// sample.
+		// A sample is taken only at a server without other pending prefill: that of other entries is
+		// known only with a delay and would distort the sample.
 		if !prefilled && x.info.Model != "" && pendingBefore == 0 {
 			x.g.fleet.observeFirstEvent(x.pool, uncachedTokens, time.Since(sentAt))
 		}
@@ -321,7 +321,8 @@
 	}
 }
 
-// attemptFailed handles an attempt without a response.
+// attemptFailed handles an attempt without a response. It reports whether another attempt should
+// follow.
 func (x *exchange) attemptFailed(s *server, err error) bool {
 	x.cause = err
 	if x.r.Context().Err() != nil {
@@ -369,7 +370,8 @@
 	return true
 }
 
-// attemptNotRun handles a server's statement that it did not run the request.
+// attemptNotRun handles a server's statement that it did not run the request. It reports whether
+// another attempt should follow.
 func (x *exchange) attemptNotRun(s *server, response *relay.Response, responseInfo ResponseInfo) bool {
 	x.cause = errors.Newf("server %s: status %d, not run", s.id, response.Status)
 	if responseInfo.Misdirected && x.info.Model != "" {
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -33,7 +33,7 @@
 	g.subscriber.confirmed = time.Now().Add(-age)
 }
 
-// RecordConfirmation applies a host's update that acknowledges the message sent sentAfter after
+// RecordConfirmation applies a host's update that acknowledges the report sent sentAfter after
 // the gateway's start, and returns the age of the confirmation.
 func (g *Gateway) RecordConfirmation(sentAfter, confirmedAge time.Duration) time.Duration {
 	g.subscriber.recordConfirmation(&schema.LeaderNews{EchoUs: uint64(sentAfter.Microseconds()), ConfirmedAgeMs: confirmedAge.Milliseconds()})
@@ -107,7 +107,7 @@
 // ObserveRunTime records how long an engine ran a request.
 func (e *Engines) ObserveRunTime(d time.Duration) { e.f.poolStats("p").observeEnd(d) }
 
-// SetMinGap sets the allowed pause between events of the pool's streams.
+// SetMinGap sets the longest allowed pause between events of the pool's streams.
 func (e *Engines) SetMinGap(gap time.Duration) { e.f.poolStats("p").minGap = gap }
 
 // Serve sends a request and ends it.
@@ -213,7 +213,7 @@
 	}
 }
 
-// Deferred reports whether a report should leave before the next report interval.
+// Deferred reports whether a report should leave before the report interval has elapsed.
 func (d *DemandTracker) Deferred() bool {
 	select {
 	case <-d.d.deferred:
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -38,7 +38,7 @@
 	return stats
 }
 
-// setGaps sets the shortest pause between events that the configuration allows for each pool.
+// setGaps sets the minGap of each pool by the configuration.
 func (f *fleet) setGaps(t *routeTable) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -60,7 +60,7 @@
 	fleet      *fleet
 	demand     *demandTracker
 	subscriber *subscriber
-	// guard quarantines requests that end the servers that run them.
+	// guard holds back requests that end the servers that run them.
 	guard *quarantine.Guard
 	// quotas tracks the usage of teams' quotas at this entry.
 	quotas *quota.Meter
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -237,7 +237,7 @@
 // not run twice never reaches a second server once a byte of it was sent, and only a server's
 // own statement leads to a 503.
 func TestRetryPolicy(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		path    string
 		handle  func(net.Conn, *http.Request)
 		want    int
@@ -259,11 +259,11 @@
 		"no route":            {"/nowhere/x", respondOK, http.StatusNotFound, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, b := newBackend(t, x.handle), newBackend(t, x.handle)
-			got := newTestGateway(t, a, b).call(t, x.path, "body", "")
-			require.Equal(t, x.want, got.status)
-			require.Equal(t, x.reached, a.requests.Load()+b.requests.Load())
-			if x.want == http.StatusServiceUnavailable {
+			a, b := newBackend(t, test.handle), newBackend(t, test.handle)
+			got := newTestGateway(t, a, b).call(t, test.path, "body", "")
+			require.Equal(t, test.want, got.status)
+			require.Equal(t, test.reached, a.requests.Load()+b.requests.Load())
+			if test.want == http.StatusServiceUnavailable {
 				require.NotEmpty(t, got.retryAfter)
 			}
 		})
@@ -424,7 +424,7 @@
 // and each of them retries at most once. A request is read and waits until the configuration
 // arrives, a moment later, and is then served.
 func TestRequestWaitsForFirstConfiguration(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		body string
 		want int
 	}{
@@ -436,7 +436,7 @@
 			g := newSubscribingGateway(t)
 			defer g.Close()
 			got := make(chan int, 1)
-			body := &readNotifier{Reader: strings.NewReader(x.body), done: make(chan struct{})}
+			body := &readNotifier{Reader: strings.NewReader(test.body), done: make(chan struct{})}
 			go func() {
 				w := httptest.NewRecorder()
 				request := httptest.NewRequest(http.MethodPost, "/once/x", body)
@@ -448,7 +448,7 @@
 			<-body.done
 			g.ApplyServers(false, &schema.RosterServer{Id: "s0", Pool: "p", Address: b.l.Addr().String(), Slots: 1})
 			g.Configure(configuration(1, routes()...))
-			require.Equal(t, x.want, <-got)
+			require.Equal(t, test.want, <-got)
 		})
 	}
 }
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -18,7 +18,7 @@
 // moves only the entries that prefer it. It is used by one goroutine.
 type controlHosts struct {
 	self *schema.RosterEntry
-	// seeds returns some hosts, members are the hosts learned from other hosts, and followers
+	// seeds returns some hosts, members are the hosts that another host listed last, and followers
 	// those that follow the leader by its last update.
 	seeds     func() []string
 	members   []string
@@ -50,12 +50,12 @@
 
 func (h *controlHosts) preferenceOf(address string) preference {
 	p := preference{class: 2, hash: rendezvousHash(h.self.GetHost(), address)}
-	for _, x := range h.followers {
-		if x.GetAddress() != address {
+	for _, follower := range h.followers {
+		if follower.GetAddress() != address {
 			continue
 		}
 		p.class = 1
-		if x.GetDataCentre() == h.self.GetDataCentre() {
+		if follower.GetDataCentre() == h.self.GetDataCentre() {
 			p.class = 0
 		}
 	}
@@ -67,8 +67,8 @@
 	sum := fnv.New64a()
 	// Writing to a hash does not fail.
 	_, _ = sum.Write([]byte(entry + " " + address))
-	// FNV mixes the last bytes of its input poorly into the high bits of the sum; this finalizer
-	// does.
+	// FNV mixes the last bytes of its input poorly into the high bits of the sum. The shifts and
+	// the product correct this.
 	x := sum.Sum64()
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -78,8 +78,8 @@
 // ranked returns all known hosts, the most preferred one first.
 func (h *controlHosts) ranked() []string {
 	all := slices.Concat(h.members, h.seeds())
-	for _, x := range h.followers {
-		all = append(all, x.GetAddress())
+	for _, follower := range h.followers {
+		all = append(all, follower.GetAddress())
 	}
 	slices.Sort(all)
 	all = slices.Compact(all)
@@ -115,8 +115,8 @@
 func (h *controlHosts) preferredTo(current string, now time.Time) string {
 	bestPreference := h.preferenceOf(current)
 	best := ""
-	for _, x := range h.followers {
-		address := x.GetAddress()
+	for _, follower := range h.followers {
+		address := follower.GetAddress()
 		if p := h.preferenceOf(address); address != current && !now.Before(h.avoided[address]) && p.compare(bestPreference) < 0 {
 			best, bestPreference = address, p
 		}
--- a/internal/gateway/hosts_test.go
+++ b/internal/gateway/hosts_test.go
@@ -35,8 +35,8 @@
 		h.SetFollowers(testControlHosts()...)
 		address := h.Next(testTime)
 		subscribed[address]++
-		for _, x := range testControlHosts() {
-			require.Equal(t, x.GetAddress() == address && x.GetDataCentre() != testEntry(i).GetDataCentre(), false)
+		for _, host := range testControlHosts() {
+			require.Equal(t, host.GetAddress() == address && host.GetDataCentre() != testEntry(i).GetDataCentre(), false)
 		}
 	}
 	require.Len(t, subscribed, 9)
@@ -48,7 +48,7 @@
 	}
 }
 
-// All entries start at once and know only the three seeds: each starts with a seed of its own
+// All entries start at once and know only the three seeds: each tries the first seed of its own
 // order, so that no seed is queried by all of them.
 func TestEntriesSpreadOverSeeds(t *testing.T) {
 	seeds := []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"}
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -17,7 +17,7 @@
 	return v
 }
 
-// An engine crashes and restarts with its id at another address and without models. The leader
+// An engine ends and restarts with its id at another address and without models. The leader
 // that reports it never knew the earlier incarnation and does not report its end. Requests for
 // the earlier models must be sent to neither: the new incarnation rejects them, and each
 // rejection costs the caller an attempt.
@@ -43,8 +43,8 @@
 }
 
 // What an entry remembers of an engine belongs to one incarnation: its cached prompt parts are
-// lost on a restart, and if they still counted, the new incarnation would start their prefill
-// too late.
+// lost on a restart. If they still counted, the entry would not expect their prefill at the new
+// incarnation, and the responses there would start late.
 func TestPromptPartsBelongToOneIncarnation(t *testing.T) {
 	const ready = schema.RosterState_ROSTER_STATE_READY
 	info := &gateway.RequestInfo{Model: "m", PromptTokens: 9000, PromptParts: []gateway.PromptPart{{ID: "s", Tokens: 9000}}}
--- a/internal/gateway/pool_stats.go
+++ b/internal/gateway/pool_stats.go
@@ -18,10 +18,10 @@
 	// maxFirstEventWait is the longest time to a first event that is used as a sample: a longer
 	// one has waited for something other than prefill.
 	maxFirstEventWait = time.Second
-	// longPromptGapDivisor divides the shortest pause between events that a pool's streams are
-	// allowed; a prompt whose prefill takes at least the result counts as long. A few such
-	// prefills in a row between two events of another stream make the event late. With allowed
-	// pauses of 500 ms and 38 tokens per millisecond, prompts from 3,800 tokens on are long.
+	// longPromptGapDivisor divides the minGap of a pool; a prompt whose prefill takes at least the
+	// result counts as long. A few such prefills in a row between two events of another stream
+	// make the event late. With allowed pauses of 500 ms and 38 tokens per millisecond, prompts
+	// from 3,800 tokens on are long.
 	longPromptGapDivisor = 5
 	// minLongPromptShare is the share of all prefill tokens that long prompts must have for
 	// engines to be reserved for them. Reserving engines for one long prompt in ten would press
@@ -42,8 +42,8 @@
 	// meanRunMs is a moving average of the time that engines spend on a request, in ms; 0 if none
 	// has ended.
 	meanRunMs float64
-	// minGap is the shortest pause between events that a route allows the pool's streams; 0 if
-	// none does.
+	// minGap is the least of the longest pauses between events that the routes allow the pool's
+	// streams; 0 if no route limits them.
 	minGap time.Duration
 }
 
@@ -116,7 +116,7 @@
 
 // slotCost returns the cost in ms of one more request at an engine with this many requests:
 // once all slots are in use the request waits until one is free. The requests of other entries
-// are known with a delay, so that the last slots count as in use.
+// are known with a delay, so the slots beyond noWaitSlotShare already count as in use.
 func (s *poolStats) slotCost(running, slots int) float64 {
 	if slots == 0 {
 		return 0
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -27,7 +27,7 @@
 	x.g.guard.AttemptFailed(x.keyedRequest(), s.id, s.address)
 }
 
-// rejectedByQuarantine rejects a request at once that is known to end the servers that run it.
+// rejectedByQuarantine rejects at once a request that is known to end the servers that run it.
 // Another attempt would fail in the same way and would interrupt all requests that run beside
 // it.
 func (x *exchange) rejectedByQuarantine() bool {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -37,8 +37,8 @@
 }
 
 // A leaving server ends while it still has a request. Its end proves nothing about the request:
-// it is not investigated, and the request does not become suspect.
-func TestLeavingServerIsNotInvestigated(t *testing.T) {
+// the server is not probed, and the request does not become suspect.
+func TestLeavingServerIsNotProbed(t *testing.T) {
 	lines := make(chan string, 64)
 	received, leave := make(chan struct{}), make(chan struct{})
 	var server *backend
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -13,8 +13,8 @@
 	// return.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 4 * time.Second
-	// absentDuration is how long a server that reported a missing model is not chosen for it; the
-	// leader's update arrives within milliseconds.
+	// absentDuration is how long a server that rejected a request for lack of a model or adapter
+	// is not chosen for it; the leader's update arrives within milliseconds.
 	absentDuration = 60 * time.Millisecond
 	// maxPromptParts is the number of prompt parts remembered per server: an engine's cache of
 	// some 200,000 tokens holds that many parts of 1,000 tokens and more.
@@ -43,24 +43,22 @@
 	meanPendingPrefill float64
 	// promptParts holds the prompt parts that this entry sent, keyed by model, adapter and part
 	// id, with the number of the last request that contained each.
-	promptParts map[string]uint64
-	requests    uint64
-	// consecutiveFailures counts failures in a row.
+	promptParts         map[string]uint64
+	requests            uint64
 	consecutiveFailures int
 	ejectedUntil        time.Time
 	// absentUntil holds until when a model or adapter counts as missing.
 	absentUntil map[string]time.Time
 }
 
-// addRuns adds a request to the runs of its model and adapter, or removes one if by is
-// negative.
-func (s *server) addRuns(info *RequestInfo, by int) {
+// addRuns adds delta to the number of running requests of a request's model and adapter.
+func (s *server) addRuns(info *RequestInfo, delta int) {
 	names := []string{info.Model}
 	if info.Adapter != "" {
 		names = append(names, info.Model+"/"+info.Adapter)
 	}
 	for _, name := range names {
-		if s.runs[name] += by; s.runs[name] <= 0 {
+		if s.runs[name] += delta; s.runs[name] <= 0 {
 			delete(s.runs, name)
 		}
 	}
@@ -121,10 +119,10 @@
 		s.promptParts[info.Model+"/"+info.Adapter+"/"+p.ID] = s.requests
 	}
 	for len(s.promptParts) > maxPromptParts {
-		oldest, at := "", s.requests+1
+		oldest, oldestRequest := "", s.requests+1
 		for k, n := range s.promptParts {
-			if n < at {
-				oldest, at = k, n
+			if n < oldestRequest {
+				oldest, oldestRequest = k, n
 			}
 		}
 		delete(s.promptParts, oldest)
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -36,10 +36,10 @@
 	require.Equal(t, result{status: http.StatusServiceUnavailable, retryAfter: "0.05"}, <-got)
 }
 
-// The time of a stopping entry is over while a server runs a request and another request waits
-// for a model. The first may have run, so that its response does not promise otherwise; the
-// second has not run. Both get a response before the process ends.
-func TestAbortAnswersEveryRequest(t *testing.T) {
+// A stopping entry aborts its requests while a server runs one and another one waits for a
+// model. The first may have run, so its response must not state that it did not; the second has
+// not run. Both get a response before the process ends.
+func TestAbortRespondsToEveryRequest(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	silent := newBackend(t, func(net.Conn, *http.Request) { <-release })
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// relayEvents forwards events until the stream ends; it returns nil at the regular end.
+// relayEvents forwards events until the stream ends; it returns nil at the regular end. proceed
+// is called before events are sent and returns false if the attempt was canceled.
 func (x *exchange) relayEvents(response *relay.Response, lastID *int64, proceed func() bool) error {
 	in := relay.NewEventReader(response.Body)
 	out := http.NewResponseController(x.w)
--- a/internal/gateway/subscriber.go
+++ b/internal/gateway/subscriber.go
@@ -19,7 +19,7 @@
 
 const (
 	// reportInterval is the time between two reports of an entry to its control host. It is a
-	// quarter of the timeout after which the host removes the entry.
+	// quarter of the silence timeout, after which callers are no longer sent to the entry.
 	reportInterval = 300 * time.Millisecond
 	// reportPausePerSubscriber, multiplied by the number of entries that subscribe to the host, is
 	// the least time between two reports of an entry; it is at least minReportPause. Demand that
@@ -27,12 +27,12 @@
 	// number of subscribers. A report after a longer silence leaves at once.
 	reportPausePerSubscriber = 1500 * time.Microsecond
 	minReportPause           = 5 * time.Millisecond
-	// deferredReportPauses is the number of such pauses after which a report leaves that contains
-	// only more waiting requests for targets that are reported as waited for already.
+	// deferredReportPauses is the number of such pauses after which a report leaves that adds only
+	// waiting requests for targets that already have reported ones.
 	deferredReportPauses = 4
-	// hostTimeout is how long the host may stay silent. It sends an update every 300 ms, and the
-	// first one arrives within a round trip.
-	hostTimeout = 1200 * time.Millisecond
+	// hostSilenceTimeout is how long the host may stay silent. It sends an update every 300 ms,
+	// and the first one arrives within a round trip.
+	hostSilenceTimeout = 1200 * time.Millisecond
 	// firstUpdateTimeout is the timeout for a host's first update in the first round over all
 	// control hosts: a host without power does not respond at all, and each such host would
 	// otherwise delay callers by a second. It doubles with each round, as a slow host needs
@@ -182,8 +182,8 @@
 // over all hosts.
 func firstUpdateWait(failedRounds int) time.Duration {
 	for wait := firstUpdateTimeout; ; wait *= 2 {
-		if failedRounds--; failedRounds < 0 || wait >= hostTimeout {
-			return min(wait, hostTimeout)
+		if failedRounds--; failedRounds < 0 || wait >= hostSilenceTimeout {
+			return min(wait, hostSilenceTimeout)
 		}
 	}
 }
@@ -206,8 +206,8 @@
 		case <-done:
 		}
 	}()
-	timeout := time.AfterFunc(firstUpdateWait(s.hosts.failedRounds()), func() { cancel(errHostSilent) })
-	defer timeout.Stop()
+	silenceTimer := time.AfterFunc(firstUpdateWait(s.hosts.failedRounds()), func() { cancel(errHostSilent) })
+	defer silenceTimer.Stop()
 	stream, err := client.Attend(ctx)
 	if err != nil {
 		return errors.Newf("subscribe: %w", err)
@@ -234,7 +234,7 @@
 			}
 			return errors.Newf("receive from control host: %w", err)
 		}
-		timeout.Reset(hostTimeout)
+		silenceTimer.Reset(hostSilenceTimeout)
 		if update.GetNotLeader() {
 			s.applyRejection(update)
 			return errNoLeaderUpdates
@@ -398,7 +398,7 @@
 }
 
 // recordConfirmation records as of when this entry's configuration is confirmed. The time
-// counts from when the message that the host acknowledges was sent, by this entry's clock: an
+// counts from when the report that the host acknowledges was sent, by this entry's clock: an
 // update that was delayed in the network, or that a frozen entry reads late, does not confirm a
 // later time.
 func (s *subscriber) recordConfirmation(update *schema.LeaderNews) {
--- a/internal/gateway/table.go
+++ b/internal/gateway/table.go
@@ -1,5 +1,5 @@
-// Package gateway receives callers' requests on the routes of a configuration, chooses a
-// backend server for each and forwards the response. It has no durable state: what it knows
+// Package gateway receives callers' requests on the routes of a complete configuration, chooses
+// a backend server for each and forwards the response. It has no durable state: what it knows
 // comes from the leader of the control group.
 package gateway
 
@@ -22,8 +22,8 @@
 	byHost map[string][]*schema.Route
 	pools  map[string]*schema.Pool
 	teams  *team.Directory
-	// minGaps is the shortest pause between events that a route allows the streams of each pool;
-	// pools without one are missing.
+	// minGaps is, by pool, the least of the longest pauses between events that the routes allow
+	// its streams; pools without a limit are missing.
 	minGaps map[string]time.Duration
 }
 
@@ -50,7 +50,7 @@
 	return t
 }
 
-// addGap adds the pause between events that a route allows to its pools.
+// addGap applies the longest pause between events that a route allows to the pools of the route.
 func (t *routeTable) addGap(r *schema.Route) {
 	gap := time.Duration(r.GetGapMs()) * time.Millisecond
 	if !r.GetStream() || gap <= 0 {
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -69,8 +69,8 @@
 	}
 	forecast, known := x.g.demand.forecast(t, x.startTime)
 	expected := known && !forecast.ready.IsZero()
-	// A request that waits until the process ends would be interrupted without a response,
-	// although only this entry knows that it has not run.
+	// A request that waits until the process ends would be interrupted without a response, and
+	// only this entry knows that it has not run.
 	if deadline := x.g.sendDeadline.Load(); deadline != nil && (!now.Before(*deadline) || expected && forecast.ready.After(*deadline)) {
 		return OutcomeStopping, stoppingRetryAfter, true
 	}
