--- a/internal/relay/events_test.go
+++ b/internal/relay/events_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestOnlyCompleteEvents(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		in, want string
 		err      error
 	}{
@@ -36,10 +36,10 @@
 		"longer event":    {"data: " + strings.Repeat("x", 9000) + "\n\n", "data: " + strings.Repeat("x", 9000) + "\n\n", io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for _, in := range []io.Reader{strings.NewReader(x.in), iotest.OneByteReader(strings.NewReader(x.in))} {
+			for _, in := range []io.Reader{strings.NewReader(test.in), iotest.OneByteReader(strings.NewReader(test.in))} {
 				got, err := readAll(in)
-				require.ErrorIs(t, err, x.err)
-				require.Equal(t, x.want, got)
+				require.ErrorIs(t, err, test.err)
+				require.Equal(t, test.want, got)
 			}
 		})
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -97,7 +97,7 @@
 	return s
 }
 
-// dial connects to an address within dialWait.
+// dial connects to an address within dialTimeout.
 func (s *Sender) dial(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -148,13 +148,13 @@
 // Send sends a request and waits for the header of the response. The connection
 // is reset when the context ends, also while the body is read. The error wraps
 // ErrNotSent, ErrInterrupted or ErrMismatchedResponse.
-func (s *Sender) Send(ctx context.Context, address string, q *Request) (*Response, error) {
+func (s *Sender) Send(ctx context.Context, address string, req *Request) (*Response, error) {
 	conn, err := s.dial(ctx, address)
 	if err != nil {
 		return nil, errors.Newf("connect to %s: %v: %w", address, err, ErrNotSent)
 	}
 	stop := context.AfterFunc(ctx, func() { Reset(conn) })
-	response, body, err := roundTrip(conn, q)
+	response, body, err := roundTrip(conn, req)
 	if err != nil {
 		stop()
 		Reset(conn)
@@ -171,8 +171,8 @@
 	return response, nil
 }
 
-func roundTrip(conn net.Conn, q *Request) (*Response, *bodyReader, error) {
-	if n, err := conn.Write(q.encode()); err != nil {
+func roundTrip(conn net.Conn, req *Request) (*Response, *bodyReader, error) {
+	if n, err := conn.Write(req.encode()); err != nil {
 		if n == 0 {
 			return nil, nil, errors.Newf("write request: %v: %w", err, ErrNotSent)
 		}
@@ -180,11 +180,11 @@
 	}
 	in := bufio.NewReaderSize(conn, readBufferBytes)
 	for range maxMismatchedResponses {
-		r, err := readResponse(in, q.Method)
+		r, err := readResponse(in, req.Method)
 		if err != nil {
 			return nil, nil, err
 		}
-		if q.MatchesResponse(r.Header) {
+		if req.MatchesResponse(r.Header) {
 			body := &bodyReader{r: r.Body}
 			return &Response{Status: r.StatusCode, Header: r.Header, Body: body}, body, nil
 		}
@@ -208,17 +208,17 @@
 	}
 }
 
-func (q *Request) encode() []byte {
+func (req *Request) encode() []byte {
 	var b bytes.Buffer
-	b.Grow(len(q.Body) + 1024)
-	b.WriteString(q.Method + " " + q.Target + " HTTP/1.1\r\nHost: " + q.Host + "\r\n")
+	b.Grow(len(req.Body) + 1024)
+	b.WriteString(req.Method + " " + req.Target + " HTTP/1.1\r\nHost: " + req.Host + "\r\n")
 	// Writes to a bytes.Buffer do not fail.
-	_ = q.Header.Write(&b)
-	if len(q.Body) > 0 || q.Method != http.MethodGet && q.Method != http.MethodHead {
-		b.WriteString("Content-Length: " + strconv.Itoa(len(q.Body)) + "\r\n")
+	_ = req.Header.Write(&b)
+	if len(req.Body) > 0 || req.Method != http.MethodGet && req.Method != http.MethodHead {
+		b.WriteString("Content-Length: " + strconv.Itoa(len(req.Body)) + "\r\n")
 	}
 	b.WriteString("\r\n")
-	b.Write(q.Body)
+	b.Write(req.Body)
 	return b.Bytes()
 }
 
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -50,23 +50,23 @@
 // Only a reset discards this data. After a complete response the connection is closed
 // regularly.
 func TestAbandonedConnectionIsReset(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		sent int
 		want error
 	}{"in the middle of the response": {4, syscall.ECONNRESET}, "after the complete response": {10, nil}} {
 		t.Run(name, func(t *testing.T) {
-			address, end := startServer(t, x.sent)
+			address, end := startServer(t, test.sent)
 			response, err := send(context.Background(), address)
 			require.NoError(t, err)
-			got, err := io.ReadAll(io.LimitReader(response.Body, int64(x.sent)))
+			got, err := io.ReadAll(io.LimitReader(response.Body, int64(test.sent)))
 			require.NoError(t, err)
-			require.Equal(t, "0123456789"[:x.sent], string(got))
-			if x.want == nil {
+			require.Equal(t, "0123456789"[:test.sent], string(got))
+			if test.want == nil {
 				_, err = io.ReadAll(response.Body)
 				require.NoError(t, err)
 			}
 			response.Close()
-			require.ErrorIs(t, <-end, x.want)
+			require.ErrorIs(t, <-end, test.want)
 		})
 	}
 	t.Run("before any response", func(t *testing.T) {
