--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -124,9 +124,9 @@
 	}
 }
 
-// Admit queues a request, or refuses it immediately. s is the current capacity
-// of the request's target.
-func (c *Controller) Admit(r Request, s Capacity) (*Ticket, *refusal.Refusal) {
+// Admit queues a request, or refuses it immediately. capacity is the current
+// capacity of the request's target.
+func (c *Controller) Admit(r Request, capacity Capacity) (*Ticket, *refusal.Refusal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.cfg.Now()
@@ -151,7 +151,7 @@
 		q.customerTimes[r.Customer] = q.virtualTime
 	}
 	q.waiting = append(q.waiting, t)
-	q.capacity = s
+	q.capacity = capacity
 	t.timer = time.AfterFunc(r.Deadline.Sub(now), t.expire)
 	c.dispatch(q)
 	return t, nil
@@ -168,14 +168,14 @@
 
 // SetCapacity sets the capacity of a target, and grants or refuses the waiting
 // requests that this decides.
-func (c *Controller) SetCapacity(target string, s Capacity) {
+func (c *Controller) SetCapacity(target string, capacity Capacity) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q, ok := c.queues[target]
 	if !ok {
 		return
 	}
-	q.capacity = s
+	q.capacity = capacity
 	c.dispatch(q)
 }
 
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -16,9 +16,9 @@
 	return admission.Request{Customer: customer, Target: "m", Deadline: time.Now().Add(timeout)}
 }
 
-func admit(t *testing.T, c *admission.Controller, r admission.Request, s admission.Capacity) *admission.Ticket {
+func admit(t *testing.T, c *admission.Controller, r admission.Request, capacity admission.Capacity) *admission.Ticket {
 	t.Helper()
-	ticket, refused := c.Admit(r, s)
+	ticket, refused := c.Admit(r, capacity)
 	require.Nil(t, refused)
 	return ticket
 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -39,20 +39,20 @@
 		candidates = withState(entries, schema.HostState_HOST_STATE_SUSPECT)
 	}
 	type ranked struct {
-		entry  Entry
-		remote int
-		turn   int
+		entry    Entry
+		remote   int
+		tieBreak int
 	}
 	list := make([]ranked, len(candidates))
 	for i, e := range candidates {
-		list[i] = ranked{entry: e, turn: random(1 << 30)}
+		list[i] = ranked{entry: e, tieBreak: random(1 << 30)}
 		if e.DataCentre != dataCentre {
 			list[i].remote = 1
 		}
 	}
 	slices.SortFunc(list, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(a.remote, b.remote), cmp.Compare(a.entry.Load/loadStep, b.entry.Load/loadStep),
-			cmp.Compare(a.turn, b.turn), cmp.Compare(a.entry.Name, b.entry.Name))
+			cmp.Compare(a.tieBreak, b.tieBreak), cmp.Compare(a.entry.Name, b.entry.Name))
 	})
 	var out []string
 	for _, r := range list[:min(len(list), maxAddresses)] {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -12,7 +12,7 @@
 
 func TestSelect(t *testing.T) {
 	const suspect, dead = schema.HostState_HOST_STATE_SUSPECT, schema.HostState_HOST_STATE_DEAD
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name    string
 		entries []directory.Entry
 		want    []string
@@ -24,8 +24,8 @@
 		}, []string{"3"}},
 		{"suspects only without other entries", []directory.Entry{{Address: "1", State: dead}, {Address: "2", State: suspect}}, []string{"2"}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
-			assert.Equal(t, x.want, directory.Select(x.entries, "a", rand.New(rand.NewSource(1)).Intn))
+		t.Run(test.name, func(t *testing.T) {
+			assert.Equal(t, test.want, directory.Select(test.entries, "a", rand.New(rand.NewSource(1)).Intn))
 		})
 	}
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -37,11 +37,12 @@
 	failures    int
 	// ejectedUntil is the time after which a request may probe the server, zero if
 	// it is not ejected. ejections counts the ejections since the last success;
-	// each doubles the duration.
+	// each doubles the duration of the next one.
 	ejectedUntil time.Time
 	ejections    int
 	// probing is set while the one request that may end the ejection is in flight.
-	probing   bool
+	probing bool
+	// firstByte is the moving average of the time to the first byte.
 	firstByte time.Duration
 	lastUsed  time.Time
 }
