--- a/internal/roster/hosts.go
+++ b/internal/roster/hosts.go
@@ -14,7 +14,7 @@
 const (
 	// hostSilenceTimeout is how long a control host may send nothing before the leader
 	// ignores it and the entries subscribed to it. Hosts send ten times a second, and
-	// entries detect a silent host as soon and subscribe to another.
+	// entries detect a silent host as soon as the leader does and subscribe to another.
 	hostSilenceTimeout = 1200 * time.Millisecond
 	// hostRetention is how much longer the entries of a silent or disconnected host stay in
 	// the directory for callers: they are running and subscribe to another host within a
@@ -26,14 +26,14 @@
 	// first one alone would send all entries to that host and all callers to its entries.
 	listDelay = time.Second
 	// maxHostsWithLeader is the largest number of control hosts at which the leader itself
-	// is listed for entries. 33 entries cost the leader 0.03 of a core, as much as its
+	// is listed for entries. 33 entries cost the leader 0.03 of a core, as much as all its
 	// decisions; with eight other hosts, each of these serves four more entries instead.
 	maxHostsWithLeader = 5
 	// loadSumMaxAge is how long the sum of the entries' loads is reused before it is
 	// computed again. It is sent to each control host ten times a second.
 	loadSumMaxAge = 50 * time.Millisecond
 	// entryCountLogInterval is the minimum time between two log lines with the number of a
-	// host's entries, which changes with each update while hundreds of entries move.
+	// host's entries, which changes with each report while hundreds of entries move.
 	entryCountLogInterval = time.Second
 )
 
@@ -69,7 +69,7 @@
 	h := &hostState{host: host, lastReceived: r.cfg.Now(), stream: stream}
 	if old := r.hosts[host.GetAddress()]; old != nil {
 		r.addRequests(old.loads, -1)
-		// The first update on the new stream replaces these entries.
+		// The first report on the new stream replaces these entries.
 		h.entries = old.entries
 	}
 	r.hosts[host.GetAddress()] = h
@@ -84,9 +84,9 @@
 	return nil
 }
 
-// UpdateHost applies an update that a control host sent in a term. A roster position of
+// UpdateHost applies a report that a control host sent in a term. A roster position of
 // another term is ignored.
-func (r *Roster) UpdateHost(stream uint64, host string, term uint64, update *schema.HostNews) {
+func (r *Roster) UpdateHost(stream uint64, host string, term uint64, report *schema.HostNews) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h := r.currentHost(stream, host)
@@ -98,22 +98,22 @@
 		h.silent = false
 		r.cfg.Log.Info("host state", "host", host, "silent", false)
 	}
-	h.progress = Progress{Revision: update.GetRevision()}
-	if known := PositionOf(update.GetKnown()); known.Term == term {
+	h.progress = Progress{Revision: report.GetRevision()}
+	if known := PositionOf(report.GetKnown()); known.Term == term {
 		h.progress.Change = known.Change
 	}
-	h.behindEntries = update.GetBehind()
-	if h.lagging != update.GetLagging() {
-		h.lagging = update.GetLagging()
+	h.behindEntries = report.GetBehind()
+	if h.lagging != report.GetLagging() {
+		h.lagging = report.GetLagging()
 		r.cfg.Log.Info("host state", "host", host, "silent", false, "lagging", h.lagging)
 	}
-	if update.GetLoadsTold() {
+	if report.GetLoadsTold() {
 		r.addRequests(h.loads, -1)
-		r.addRequests(update.GetLoads(), 1)
-		h.loads = update.GetLoads()
+		r.addRequests(report.GetLoads(), 1)
+		h.loads = report.GetLoads()
 	}
-	if update.GetEntriesTold() {
-		h.entries = update.GetEntries()
+	if report.GetEntriesTold() {
+		h.entries = report.GetEntries()
 	}
 	if len(h.entries) != h.loggedCount && h.lastReceived.Sub(h.loggedAt) >= entryCountLogInterval {
 		h.loggedCount, h.loggedAt = len(h.entries), h.lastReceived
@@ -123,7 +123,7 @@
 
 // HostSilent reports whether a host's stream has been silent for too long or is not its
 // newest. The caller ends such a stream, so that a host that receives but can't send does
-// not take itself for connected.
+// not assume that it is connected.
 func (r *Roster) HostSilent(stream uint64, host string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,7 +148,7 @@
 	}
 }
 
-// markSilent excludes a host; the caller holds mu.
+// markSilent marks a host as silent and removes its loads; the caller holds mu.
 func (r *Roster) markSilent(h *hostState, reason string) {
 	h.silent = true
 	// Its entries' requests at engines may still run, but nothing reports them any longer.
@@ -157,8 +157,8 @@
 	r.cfg.Log.Info("host state", "host", h.host.GetAddress(), "silent", true, "reason", reason, "entries", len(h.entries))
 }
 
-// SweepHosts excludes control hosts that have become silent, removes those silent for
-// hostRetention longer together with their entries, and updates the lists.
+// SweepHosts marks control hosts that have sent nothing for hostSilenceTimeout as silent,
+// removes them together with their entries after hostRetention more, and updates the lists.
 func (r *Roster) SweepHosts() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,7 +166,7 @@
 	for address, h := range r.hosts {
 		silent := r.cfg.Now().Sub(h.lastReceived)
 		if !h.silent && silent > hostSilenceTimeout {
-			r.markSilent(h, "no update received")
+			r.markSilent(h, "no report received")
 		}
 		if h.silent && silent > hostSilenceTimeout+hostRetention {
 			delete(r.hosts, address)
@@ -175,7 +175,7 @@
 }
 
 // UpdateSince returns what changed after a change number, as an update without a term and
-// without answers to queries. It is one consistent snapshot: a list that changed between
+// without replies to queries. It is one consistent snapshot: a list that changed between
 // two reads would count as sent and never be sent.
 func (r *Roster) UpdateSince(after uint64) *schema.LeaderNews {
 	r.mu.Lock()
@@ -225,16 +225,16 @@
 func (r *Roster) addRequests(loads []*schema.EngineLoad, by int) {
 	for _, l := range loads {
 		for _, model := range l.GetModels() {
-			at := serverModel{l.GetServer(), model}
-			if r.requests[at] += by; r.requests[at] == 0 {
-				delete(r.requests, at)
+			key := serverModel{l.GetServer(), model}
+			if r.requests[key] += by; r.requests[key] == 0 {
+				delete(r.requests, key)
 			}
 		}
 	}
 }
 
 // maxLoads is the maximum number of engines, the busiest ones, whose loads are sent in one
-// update: at 25 bytes each and three updates a second, 5 KB/s for an entry.
+// update: at 25 bytes each and three updates a second, 5 KB/s per entry.
 const maxLoads = 64
 
 // Loads returns the sum of all entries' loads at the engines, at most loadSumMaxAge old.
@@ -299,9 +299,9 @@
 // entryList returns the entries that callers may be sent to; the caller holds mu.
 func (r *Roster) entryList() *schema.EntryList {
 	list := &schema.EntryList{}
-	for _, a := range r.subscribedEntries() {
-		if !a.GetStopping() {
-			list.Entries = append(list.Entries, a.GetEntry())
+	for _, e := range r.subscribedEntries() {
+		if !e.GetStopping() {
+			list.Entries = append(list.Entries, e.GetEntry())
 		}
 	}
 	slices.SortFunc(list.Entries, func(a, b *schema.RosterEntry) int { return cmp.Compare(a.GetHost(), b.GetHost()) })
@@ -313,10 +313,10 @@
 func (r *Roster) subscribedEntries() map[string]*schema.AttendingEntry {
 	out := map[string]*schema.AttendingEntry{}
 	for _, h := range r.hosts {
-		for _, a := range h.entries {
-			host := a.GetEntry().GetHost()
-			if other := out[host]; other == nil || a.GetStream() > other.GetStream() {
-				out[host] = a
+		for _, e := range h.entries {
+			host := e.GetEntry().GetHost()
+			if other := out[host]; other == nil || e.GetStream() > other.GetStream() {
+				out[host] = e
 			}
 		}
 	}
--- a/internal/roster/hosts_test.go
+++ b/internal/roster/hosts_test.go
@@ -22,17 +22,17 @@
 
 func controlHost(address string) *schema.ControlHost { return &schema.ControlHost{Address: address} }
 
-// entriesUpdate is a control host's update with its subscribed entries, each on its first
+// entriesReport is a control host's report with its subscribed entries, each on its first
 // stream.
-func entriesUpdate(hosts ...string) *schema.HostNews {
-	n := &schema.HostNews{EntriesTold: true}
+func entriesReport(hosts ...string) *schema.HostNews {
+	report := &schema.HostNews{EntriesTold: true}
 	for _, h := range hosts {
-		n.Entries = append(n.Entries, &schema.AttendingEntry{Entry: &schema.RosterEntry{Host: h, CallerAddress: h + ":1"}, Stream: 1})
+		report.Entries = append(report.Entries, &schema.AttendingEntry{Entry: &schema.RosterEntry{Host: h, CallerAddress: h + ":1"}, Stream: 1})
 	}
-	return n
+	return report
 }
 
-// acknowledgement is a control host's update that it and its entries have acknowledged a
+// acknowledgement is a control host's report that it and its entries have acknowledged a
 // change.
 func acknowledgement(change uint64, behind ...string) *schema.HostNews {
 	return &schema.HostNews{Known: &schema.RosterPosition{Term: term, Change: change}, Behind: behind}
@@ -65,10 +65,10 @@
 	r, _ := newSettledRoster()
 	r.HostConnected(1, controlHost("h1"))
 	r.HostConnected(2, controlHost("h2"))
-	r.UpdateHost(1, "h1", term, entriesUpdate("e1", "e2"))
-	r.UpdateHost(2, "h2", term, entriesUpdate("e3"))
+	r.UpdateHost(1, "h1", term, entriesReport("e1", "e2"))
+	r.UpdateHost(2, "h2", term, entriesReport("e3"))
 	require.Equal(t, []string{"e1", "e2", "e3"}, directoryHosts(r))
-	stopping := entriesUpdate("e1", "e2")
+	stopping := entriesReport("e1", "e2")
 	stopping.Entries[1].Stopping = true
 	r.UpdateHost(1, "h1", term, stopping)
 	require.Equal(t, []string{"e1", "e3"}, directoryHosts(r))
@@ -82,10 +82,10 @@
 	r, c := newSettledRoster()
 	r.HostConnected(1, controlHost("h1"))
 	r.HostConnected(2, controlHost("h2"))
-	r.UpdateHost(1, "h1", term, entriesUpdate("e1", "e2"))
+	r.UpdateHost(1, "h1", term, entriesReport("e1", "e2"))
 	r.HostDisconnected(1, "h1")
 	require.Equal(t, []string{"e1", "e2"}, directoryHosts(r))
-	r.UpdateHost(2, "h2", term, entriesUpdate("e1"))
+	r.UpdateHost(2, "h2", term, entriesReport("e1"))
 	c.now = c.now.Add(3 * time.Second)
 	r.UpdateHost(2, "h2", term, &schema.HostNews{})
 	r.SweepHosts()
@@ -103,10 +103,10 @@
 	r, _ := newSettledRoster()
 	r.HostConnected(1, controlHost("h1"))
 	r.HostConnected(2, controlHost("h2"))
-	moved := entriesUpdate("e1")
+	moved := entriesReport("e1")
 	moved.Entries[0].Stream, moved.Entries[0].Stopping = 2, true
 	r.UpdateHost(2, "h2", term, moved)
-	r.UpdateHost(1, "h1", term, entriesUpdate("e1"))
+	r.UpdateHost(1, "h1", term, entriesReport("e1"))
 	require.Empty(t, directoryHosts(r))
 }
 
@@ -117,16 +117,16 @@
 	r, _ := newSettledRoster()
 	r.HostConnected(1, controlHost("h1"))
 	r.HostConnected(2, controlHost("h2"))
-	r.UpdateHost(1, "h1", term, entriesUpdate("e1", "e2"))
+	r.UpdateHost(1, "h1", term, entriesReport("e1", "e2"))
 	require.Equal(t, []string{"e1", "e2"}, directoryHosts(r))
 	_, change := r.ServersSince(0)
-	r.UpdateHost(2, "h2", term, entriesUpdate("e1"))
-	r.UpdateHost(1, "h1", term, entriesUpdate("e2"))
-	r.UpdateHost(2, "h2", term, entriesUpdate("e1", "e2"))
-	r.UpdateHost(1, "h1", term, entriesUpdate())
+	r.UpdateHost(2, "h2", term, entriesReport("e1"))
+	r.UpdateHost(1, "h1", term, entriesReport("e2"))
+	r.UpdateHost(2, "h2", term, entriesReport("e1", "e2"))
+	r.UpdateHost(1, "h1", term, entriesReport())
 	r.SweepHosts()
 	require.Nil(t, r.UpdateSince(change).GetEntries())
-	r.UpdateHost(2, "h2", term, entriesUpdate("e1"))
+	r.UpdateHost(2, "h2", term, entriesReport("e1"))
 	r.SweepHosts()
 	require.Len(t, r.UpdateSince(change).GetEntries().GetEntries(), 1)
 }
@@ -148,7 +148,7 @@
 func TestNewLeaderSendsNoListBeforeItIsComplete(t *testing.T) {
 	r, c := newRoster()
 	r.HostConnected(1, controlHost("h1"))
-	r.UpdateHost(1, "h1", term, entriesUpdate("e1"))
+	r.UpdateHost(1, "h1", term, entriesReport("e1"))
 	_, change := r.ServersSince(0)
 	require.Nil(t, r.UpdateSince(0).GetEntries())
 	require.Nil(t, r.UpdateSince(0).GetHosts())
@@ -185,11 +185,11 @@
 	r.HostConnected(1, controlHost("h1"))
 	r.HostConnected(2, controlHost("h2"))
 	load := func(stream uint64, host, model string) {
-		n := &schema.HostNews{LoadsTold: true}
+		report := &schema.HostNews{LoadsTold: true}
 		if model != "" {
-			n.Loads = []*schema.EngineLoad{{Server: "s", Models: []string{model}}}
+			report.Loads = []*schema.EngineLoad{{Server: "s", Models: []string{model}}}
 		}
-		r.UpdateHost(stream, host, term, n)
+		r.UpdateHost(stream, host, term, report)
 	}
 	load(1, "h1", "a")
 	load(2, "h2", "b")
--- a/internal/roster/mirror.go
+++ b/internal/roster/mirror.go
@@ -191,8 +191,8 @@
 // changedSince returns the servers that changed after a position; the caller holds mu.
 func (m *Mirror) changedSince(p Position) []*schema.RosterServer {
 	var out []*schema.RosterServer
-	for place := m.recent.Back(); place != nil; place = place.Prev() {
-		s := place.Value.(*mirroredServer)
+	for element := m.recent.Back(); element != nil; element = element.Prev() {
+		s := element.Value.(*mirroredServer)
 		if !p.Before(s.position) {
 			break
 		}
@@ -215,17 +215,17 @@
 }
 
 // applyForecasts stores forecasts and drops old ones; the caller holds mu.
-func (m *Mirror) applyForecasts(list []*schema.LoadForecast) {
-	if len(list) == 0 {
+func (m *Mirror) applyForecasts(forecasts []*schema.LoadForecast) {
+	if len(forecasts) == 0 {
 		return
 	}
 	now := m.cfg.Now()
-	for _, f := range list {
+	for _, f := range forecasts {
 		m.forecasts[forecastKey{f.GetPool(), f.GetModel(), f.GetAdapter()}] = forecast{f, now}
 	}
-	for of, f := range m.forecasts {
+	for key, f := range m.forecasts {
 		if now.Sub(f.receivedAt) > forecastRetention {
-			delete(m.forecasts, of)
+			delete(m.forecasts, key)
 		}
 	}
 	close(m.forecastsUpdated)
@@ -248,8 +248,9 @@
 
 // canResume reports whether the changes after a position are all that a subscriber at that
 // position lacks. Otherwise the subscriber needs the whole roster: a host that connected to
-// the leader later compared with other views and does not have the same changes. The caller
-// holds mu.
+// the leader after that position has compared the leader's first update with earlier views
+// of its own, so the changes that it recorded are not all that the subscriber lacks. The
+// caller holds mu.
 func (m *Mirror) canResume(p Position) bool {
 	switch {
 	case p.Term == 0 || p.Before(m.forgotten):
@@ -263,7 +264,7 @@
 }
 
 // Since returns the update for a subscriber at a position, without a sequence number. Its
-// Known is the position that the update leads to, never less than p.
+// Known is the position that the update leads to: not before p, unless the update is whole.
 func (m *Mirror) Since(p Position) *schema.LeaderNews {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/roster/mirror_test.go
+++ b/internal/roster/mirror_test.go
@@ -121,7 +121,7 @@
 	m.Apply(leaderUpdate(3, 50))
 	m.Apply(leaderUpdate(5, 7, server("s1", ready)))
 	m.Apply(leaderUpdate(5, 9))
-	for _, x := range []struct {
+	for _, tt := range []struct {
 		at    roster.Position
 		whole bool
 	}{
@@ -137,7 +137,7 @@
 		{roster.Position{Term: 5, Change: 9}, false},
 		{roster.Position{Term: 5, Change: 99}, false},
 	} {
-		require.Equal(t, x.whole, m.Since(x.at).GetWhole(), x.at)
+		require.Equal(t, tt.whole, m.Since(tt.at).GetWhole(), tt.at)
 	}
 	// A server that has been gone for long is removed. An entry that does not know it as
 	// gone must receive the whole roster.
@@ -155,12 +155,12 @@
 func TestListsAreSentWhenTheyChange(t *testing.T) {
 	m, _ := newMirror()
 	lists := func(term, change uint64, entries ...string) *schema.LeaderNews {
-		n := leaderUpdate(term, change)
-		n.Entries = &schema.EntryList{}
+		update := leaderUpdate(term, change)
+		update.Entries = &schema.EntryList{}
 		for _, e := range entries {
-			n.Entries.Entries = append(n.Entries.Entries, &schema.RosterEntry{Host: e})
+			update.Entries.Entries = append(update.Entries.Entries, &schema.RosterEntry{Host: e})
 		}
-		return n
+		return update
 	}
 	m.Apply(lists(1, 4, "e1"))
 	require.Len(t, m.Since(roster.Position{Term: 1, Change: 4}).GetEntries().GetEntries(), 0)
@@ -175,21 +175,21 @@
 // forecasts received since the query, less the time passed, and none received before.
 func TestForecastsAreThoseReceivedSinceTheQuery(t *testing.T) {
 	m, c := newMirror()
-	want := []*schema.ModelDemand{{Pool: "p", Model: "m"}}
+	demands := []*schema.ModelDemand{{Pool: "p", Model: "m"}}
 	update := leaderUpdate(1, 1)
 	update.Forecasts = []*schema.LoadForecast{{Pool: "p", Model: "m", ReadyInMs: 900}, {Pool: "p", Model: "n", ReadyInMs: -1}}
-	answered := m.ForecastsUpdated()
+	updated := m.ForecastsUpdated()
 	m.Apply(update)
-	<-answered
-	asked := c.now
+	<-updated
+	queriedAt := c.now
 	c.now = c.now.Add(300 * time.Millisecond)
-	got := m.Forecasts(want, asked)
+	got := m.Forecasts(demands, queriedAt)
 	require.Len(t, got, 1)
 	require.Equal(t, int64(600), got[0].GetReadyInMs())
-	require.Equal(t, int64(-1), m.Forecasts([]*schema.ModelDemand{{Pool: "p", Model: "n"}}, asked)[0].GetReadyInMs())
-	require.Empty(t, m.Forecasts(want, c.now))
+	require.Equal(t, int64(-1), m.Forecasts([]*schema.ModelDemand{{Pool: "p", Model: "n"}}, queriedAt)[0].GetReadyInMs())
+	require.Empty(t, m.Forecasts(demands, c.now))
 	c.now = c.now.Add(time.Second)
-	require.Zero(t, m.Forecasts(want, asked)[0].GetReadyInMs())
+	require.Zero(t, m.Forecasts(demands, queriedAt)[0].GetReadyInMs())
 }
 
 // The leader awaits acknowledgements of a change that does not alter the entries' view. The
--- a/internal/roster/position.go
+++ b/internal/roster/position.go
@@ -2,7 +2,8 @@
 
 import "fennelyard/internal/schema"
 
-// Position is how far a leader's roster is known. The zero value is before every change.
+// Position is a point in a leader's roster: a copy at a position has all changes up to it.
+// The zero value is before every change.
 type Position struct {
 	// Term is the term of the leader, which numbers the changes of its roster.
 	Term, Change uint64
--- a/internal/roster/progress.go
+++ b/internal/roster/progress.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Progress is how target a control host and all entries subscribed to it have acknowledged the
+// Progress is how far a control host and all entries subscribed to it have acknowledged the
 // leader's updates.
 type Progress struct {
 	// Change is the roster's change number, Revision the ledger's revision.
@@ -17,8 +17,8 @@
 }
 
 // before reports whether p is behind the target in either number.
-func (t Progress) before(target Progress) bool {
-	return t.Change < target.Change || t.Revision < target.Revision
+func (p Progress) before(target Progress) bool {
+	return p.Change < target.Change || p.Revision < target.Revision
 }
 
 // ackPollInterval is how often AwaitAcked checks. Servers leave a few times a minute, and
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,6 +1,7 @@
 // Package roster is the control group leader's view of the backend servers, the control
-// hosts and the entries, built from what they send. Only departures are stored, in the log;
-// all else is received again within a few announcements after a change of leader.
+// hosts and the entries, built from what they send. Only departures and the servers that
+// take new work are recorded in the log; all else is received again within a few
+// announcements after a change of leader.
 package roster
 
 import (
@@ -16,8 +17,8 @@
 
 const (
 	// maxMissedAnnouncements is how many announcements a server may miss before it counts
-	// as gone. An announcement may be seconds late, and entries detect a server that has
-	// ended much sooner by their own connections.
+	// as gone. An announcement may be seconds late, and entries detect the end of a server
+	// much sooner, by their own connections.
 	maxMissedAnnouncements = 4
 	// settleAnnouncements is the number of announcement intervals after which a new leader
 	// has received an announcement of every live server. A server whose announcement to
@@ -207,6 +208,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s := r.servers[a.ID]; s != nil && s.sequence == 0 {
+		// Old enough for announcedRecently to be false.
 		s.lastReceived = s.lastReceived.Add(-2 * r.cfg.AnnounceEvery)
 	}
 	return true
--- a/internal/roster/starts.go
+++ b/internal/roster/starts.go
@@ -22,12 +22,12 @@
 }
 
 // acceptsStart decides between two starts of one server. A later start proves that the
-// earlier one has ended and counts from its first announcement: it has none of the earlier
-// one's models, and every request that relies on these is refused. An announcement of an
-// earlier start is late and has no effect as long as the later one announces itself;
-// several may arrive at once when a partition heals. If the later start is silent, the
-// server's clock was set back between the two, and the start with the smaller time is the
-// later one.
+// earlier one has ended, and is accepted with its first announcement: the server has none
+// of the earlier start's models, and every request that relies on these is refused. An
+// announcement of an earlier start is late and has no effect as long as the later one
+// announces itself; several may arrive at once when a partition heals. If the later start
+// is silent, the server's clock was set back between the two, and the start with the
+// smaller time is the later one.
 func (r *Roster) acceptsStart(a Announcement) bool {
 	name := incarnation.Parse(a.ID)
 	current := r.starts[name.Server]
@@ -53,7 +53,7 @@
 }
 
 // LacksStartTime reports whether a key has no start time although its server reports start
-// times: the message with this key was sent by somebody else.
+// times: the message with this key was not sent by that server.
 func (r *Roster) LacksStartTime(id string) bool {
 	name := incarnation.Parse(id)
 	if name.StartMs != 0 {
@@ -65,7 +65,7 @@
 	return current != nil && incarnation.Parse(current.id).StartMs != 0
 }
 
-// replaceStart replaces the start assumed to be running.
+// replaceStart sets the start assumed to be running and marks the previous one as gone.
 func (r *Roster) replaceStart(current *serverStart, id, reason string) {
 	old := current.id
 	*current = serverStart{id: id, firstReceived: r.cfg.Now()}
