--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -34,8 +34,7 @@
 }
 
 // Guard decides for one entry which requests are held back from its servers, and which
-// requests are recorded against a server that ended. All methods are safe for concurrent
-// use.
+// requests are suspected when a server ends. All methods are safe for concurrent use.
 type Guard struct {
 	onChange  func()
 	suspects  *SuspectSet
@@ -89,7 +88,7 @@
 	case !held:
 		return 0, false
 	case g.completed.Recently(r.Request):
-		// It is recorded against servers elsewhere, but has completed here.
+		// Servers ended under it elsewhere, but it has completed here.
 		g.Clear(r.Key())
 		return 0, false
 	case left > 0:
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -16,12 +16,12 @@
 
 // One request was retried on five servers within eight milliseconds, and all five ended:
 // each attempt was sent before the end of the first server was detected. Before a fourth
-// attempt the request must wait for the first three probes. An ordinary request waits only
-// in that case, and not for an address that does not reply, whose host is lost with
-// everything on it.
+// attempt the request must wait for the first three probes, but not for the whole probe of
+// an address that does not reply, whose host is lost with everything on it. A request with
+// fewer failed attempts, or none, must not wait.
 func TestRepeatsWaitForProbesOfTheirServers(t *testing.T) {
 	const probeTime = 40 * time.Millisecond
-	for name, x := range map[string]struct {
+	for name, tt := range map[string]struct {
 		result relay.Presence
 		failed int
 		waits  time.Duration
@@ -38,27 +38,27 @@
 				g := quarantine.NewGuard(quarantine.GuardConfig{
 					Entry: "entry",
 					Probe: func(context.Context, string) relay.Presence {
-						if x.result == relay.PresenceSilent {
+						if tt.result == relay.PresenceSilent {
 							time.Sleep(500 * time.Millisecond)
 						}
 						time.Sleep(probeTime)
-						return x.result
+						return tt.result
 					},
 					OnChange: func() {}, Log: logr.Discard(),
 				})
 				defer g.Close()
 				request := quarantine.NewKeyedRequest(quarantine.Request{Method: "PUT", Target: "/book", Body: []byte("harmful")})
 				other := quarantine.NewKeyedRequest(quarantine.Request{Method: "PUT", Target: "/book", Body: []byte("ordinary")})
-				for i := range x.failed {
+				for i := range tt.failed {
 					g.AttemptFailed(request, fmt.Sprint("app-", i), fmt.Sprint("a:", i))
 				}
 				start := time.Now()
 				g.AwaitProbes(t.Context(), other)
 				require.Zero(t, time.Since(start))
 				g.AwaitProbes(t.Context(), request)
-				require.Equal(t, x.waits, time.Since(start))
+				require.Equal(t, tt.waits, time.Since(start))
 				_, held := g.HeldBack(request)
-				require.Equal(t, x.held, held)
+				require.Equal(t, tt.held, held)
 			})
 		})
 	}
--- a/internal/quarantine/key.go
+++ b/internal/quarantine/key.go
@@ -20,8 +20,8 @@
 	digestBytes = 16
 )
 
-// Key identifies a request, equally for each repetition and at every entry: a Hint, and a
-// digest that reveals nothing of the request.
+// Key identifies a request and is the same for each repetition and at every entry. It
+// consists of a Hint and a digest that reveals nothing of the request.
 type Key [hintBytes + digestBytes]byte
 
 // Hint distinguishes most requests and is computed in a fraction of a microsecond, whereas
@@ -73,19 +73,19 @@
 func NewKeyedRequest(r Request) *KeyedRequest { return &KeyedRequest{Request: r} }
 
 // Key returns the request's key.
-func (s *KeyedRequest) Key() Key {
-	if s.key == (Key{}) {
-		s.key = s.Request.Key()
+func (r *KeyedRequest) Key() Key {
+	if r.key == (Key{}) {
+		r.key = r.Request.Key()
 	}
-	return s.key
+	return r.key
 }
 
 // ComputedKey returns the request's key as text, or "" if it was not computed.
-func (s *KeyedRequest) ComputedKey() string {
-	if s == nil || s.key == (Key{}) {
+func (r *KeyedRequest) ComputedKey() string {
+	if r == nil || r.key == (Key{}) {
 		return ""
 	}
-	return s.key.String()
+	return r.key.String()
 }
 
 // Hint returns the hint of the request's key.
--- a/internal/quarantine/prober.go
+++ b/internal/quarantine/prober.go
@@ -185,6 +185,7 @@
 	p.finish(probe, presence)
 }
 
+// wait waits for probeInterval. It returns false if the prober is closed before.
 func (p *ServerProber) wait() bool {
 	select {
 	case <-p.ctx.Done():
--- a/internal/quarantine/prober_test.go
+++ b/internal/quarantine/prober_test.go
@@ -18,7 +18,7 @@
 // server that is running or unreachable is no evidence against the requests; otherwise every
 // cut connection would put the requests on it under suspicion.
 func TestServerProber(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, tt := range map[string]struct {
 		results []relay.Presence
 		ended   bool
 	}{
@@ -40,7 +40,7 @@
 						mu.Lock()
 						defer mu.Unlock()
 						probes++
-						return x.results[min(probes, len(x.results))-1]
+						return tt.results[min(probes, len(tt.results))-1]
 					},
 					OnEnded: func(_ string, keys []quarantine.Key) {
 						mu.Lock()
@@ -56,7 +56,7 @@
 				time.Sleep(time.Second)
 				mu.Lock()
 				defer mu.Unlock()
-				if x.ended {
+				if tt.ended {
 					require.ElementsMatch(t, []quarantine.Key{one, two}, reported)
 				} else {
 					require.Empty(t, reported)
--- a/internal/quarantine/reader.go
+++ b/internal/quarantine/reader.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// readerRate is the maximum number of records a second sent from one host to another: 6
-	// KB, which is what updates of servers and loads leave of a host's 18 KB for control. A
-	// caller that repeats a thousand different harmful requests a second is held back a
-	// little later.
-	readerRate = 75.0
+	// maxRecordsPerSecond is the maximum number of records a second sent from one host to
+	// another: 6 KB, which is what updates of servers and loads leave of a host's 18 KB a
+	// second for control. A caller that repeats a thousand different harmful requests a
+	// second is held back a little later.
+	maxRecordsPerSecond = 75.0
 	// maxReaderBurst is the maximum number of records sent at once after a time with fewer.
 	maxReaderBurst = 256
 )
@@ -33,14 +33,14 @@
 	return &Reader{suspects: s, part: part, tokens: maxReaderBurst, lastRefill: s.cfg.Now()}
 }
 
-// Next returns the records that changed since the last call, within readerRate; later calls
-// return the rest.
+// Next returns the records that changed since the last call, within maxRecordsPerSecond;
+// later calls return the rest.
 func (r *Reader) Next() []*schema.Suspect {
 	if r.suspects.Empty() {
 		return nil
 	}
 	now := r.suspects.cfg.Now()
-	r.tokens = min(r.tokens+readerRate*now.Sub(r.lastRefill).Seconds(), maxReaderBurst)
+	r.tokens = min(r.tokens+maxRecordsPerSecond*now.Sub(r.lastRefill).Seconds(), maxReaderBurst)
 	r.lastRefill = now
 	list, to := r.suspects.since(r.change, r.part, int(r.tokens))
 	r.change = to
--- a/internal/quarantine/reader_test.go
+++ b/internal/quarantine/reader_test.go
@@ -16,7 +16,7 @@
 // each record once, in the order of the holds, within a third of its 18 KB a second for
 // control; updates of servers and loads take the rest.
 func TestFloodOfHarmfulRequestsIsSentWithinTheRate(t *testing.T) {
-	const share, seconds = 6 << 10, 10
+	const bytesPerSecond, seconds = 6 << 10, 10
 	c := &clock{time.Unix(1e9, 0)}
 	set := newSuspectSet(c)
 	r := set.Reader(quarantine.PartHeld)
@@ -38,8 +38,8 @@
 		}
 	}
 	// The burst after a time without records may be sent at once.
-	const savedUp = 4 * share
-	require.Less(t, bytes, share*seconds+savedUp)
+	const burstBytes = 4 * bytesPerSecond
+	require.Less(t, bytes, bytesPerSecond*seconds+burstBytes)
 	for range 200 {
 		c.current = c.current.Add(time.Second)
 		read()
@@ -71,11 +71,11 @@
 		for i := range suspects {
 			set.RecordEnded(quarantine.Request{Target: fmt.Sprint("/", i)}.Key(), "a")
 		}
-		q := quarantine.Request{Method: "POST", Host: "h.example", Target: "/chat/completions", Body: make([]byte, 1<<10)}
+		request := quarantine.Request{Method: "POST", Host: "h.example", Target: "/chat/completions", Body: make([]byte, 1<<10)}
 		b.Run(strconv.Itoa(suspects), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if !set.Empty() && set.MayContain(q.Hint()) {
+				if !set.Empty() && set.MayContain(request.Hint()) {
 					b.Fatal("another request has its hint")
 				}
 			}
--- a/internal/quarantine/series_test.go
+++ b/internal/quarantine/series_test.go
@@ -101,7 +101,7 @@
 // Servers end by themselves, one every two seconds on average, while ordinary requests run
 // beside each other and are repeated when they break off. In every other series a caller
 // also repeats a request that ends each server it runs on; it must be held back after the
-// third server. Of the ordinary requests fewer than one in a thousand may be.
+// third server. Fewer than one in a thousand of the ordinary requests may be held back.
 func TestSeriesOfCrashes(t *testing.T) {
 	harmful := keyOf("harmful")
 	requests, refused, series := 0, 0, 0
--- a/internal/quarantine/suspects.go
+++ b/internal/quarantine/suspects.go
@@ -17,7 +17,7 @@
 const (
 	// holdThreshold is how many servers must have ended under a request before it is held
 	// back. Requests that run beside a harmful one break off with it and are repeated as
-	// well: many of them meet it on two servers, hardly any on three.
+	// well: many of them run beside it on two servers, hardly any on three.
 	holdThreshold = 3
 	// firstHold is how long a request is held back when it reaches the threshold. After
 	// that it may try once, as a server may have been fixed; each further server that ends
@@ -207,7 +207,7 @@
 	before := r.heldUntil()
 	r.ended[server], r.lastEnded = false, s.cfg.Now()
 	s.recordChange(r, true)
-	s.announceHold(key, r, before)
+	s.signalHoldChange(key, r, before)
 }
 
 // Clear records that a request has completed and so does not end servers by itself. It
@@ -224,7 +224,7 @@
 		r.ended[server] = true
 	}
 	s.recordChange(r, true)
-	s.announceHold(key, r, before)
+	s.signalHoldChange(key, r, before)
 	return true
 }
 
@@ -250,8 +250,9 @@
 	}
 }
 
-// announceHold logs a changed hold and closes holdsChanged; the caller holds mu.
-func (s *SuspectSet) announceHold(key Key, r *record, before time.Time) {
+// signalHoldChange logs the hold of a request and closes holdsChanged, unless heldUntil
+// still returns before. The caller holds mu.
+func (s *SuspectSet) signalHoldChange(key Key, r *record, before time.Time) {
 	until := r.heldUntil()
 	if until.Equal(before) {
 		return
@@ -426,6 +427,6 @@
 		r.lastEnded = at
 	}
 	s.recordChange(r, own)
-	s.announceHold(key, r, before)
+	s.signalHoldChange(key, r, before)
 	return true
 }
--- a/internal/quarantine/suspects_test.go
+++ b/internal/quarantine/suspects_test.go
@@ -32,10 +32,10 @@
 }
 
 // Three servers are enough to hold a request back, each counted once however many attempts
-// broke off on it. Two are not, because requests beside a harmful one meet it on two as
-// well.
+// broke off on it. Two are not, because an ordinary request may run beside a harmful one on
+// two as well.
 func TestHeldBackAfterThreeServers(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, tt := range map[string]struct {
 		servers []string
 		held    bool
 	}{
@@ -47,10 +47,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := newSuspectSet(&clock{time.Unix(1e9, 0)})
-			for _, s := range x.servers {
+			for _, s := range tt.servers {
 				set.RecordEnded(keyOf("/1"), s)
 			}
-			require.Equal(t, x.held, isHeldBack(set, keyOf("/1")))
+			require.Equal(t, tt.held, isHeldBack(set, keyOf("/1")))
 			require.False(t, isHeldBack(set, keyOf("/2")))
 		})
 	}
@@ -173,20 +173,20 @@
 	require.True(t, set.Merge(records, true))
 
 	total := 0
-	at := uint64(0)
+	change := uint64(0)
 	for range 4 {
 		var list []*schema.Suspect
-		list, at = set.Since(at, quarantine.PartNoted)
+		list, change = set.Since(change, quarantine.PartNoted)
 		require.LessOrEqual(t, len(list), 256)
 		total += len(list)
 	}
 	require.Equal(t, 300, total)
-	list, at := set.Since(0, quarantine.PartHeld)
+	list, change := set.Since(0, quarantine.PartHeld)
 	require.Len(t, list, 2)
-	list, _ = set.Since(at, quarantine.PartHeld)
+	list, _ = set.Since(change, quarantine.PartHeld)
 	require.Empty(t, list)
 	require.True(t, set.Clear(keyOf("7")))
-	list, _ = set.Since(at, quarantine.PartHeld)
+	list, _ = set.Since(change, quarantine.PartHeld)
 	require.Len(t, list, 1)
 	key := keyOf("7")
 	require.Equal(t, key[:], list[0].GetKey())
@@ -215,12 +215,12 @@
 	}
 	require.True(t, isHeldBack(set, keyOf("harmful")))
 	size := 0
-	for at := uint64(0); ; {
-		list, to := set.Since(at, quarantine.PartAll)
+	for change := uint64(0); ; {
+		list, to := set.Since(change, quarantine.PartAll)
 		if len(list) == 0 {
 			break
 		}
-		size, at = size+len(list), to
+		size, change = size+len(list), to
 	}
 	require.LessOrEqual(t, size, 4096)
 }
