--- a/internal/ledger/changes.go
+++ b/internal/ledger/changes.go
@@ -51,9 +51,9 @@
 }
 
 // changesSince returns the changes that a follower at a revision lacks.
-func changesSince(r *Records, ring *changeLog, revision, after uint64) *schema.Changes {
+func changesSince(r *Records, changes *changeLog, revision, after uint64) *schema.Changes {
 	out := &schema.Changes{Revision: revision}
-	keys, ok := ring.since(after)
+	keys, ok := changes.since(after)
 	if !ok {
 		out.Whole = true
 		out.Records = r.All()
--- a/internal/ledger/claims.go
+++ b/internal/ledger/claims.go
@@ -14,7 +14,7 @@
 	// ClaimRetention is how long a request key is remembered after its claim.
 	ClaimRetention = 24 * time.Hour
 	// ClaimLimit is the maximum number of remembered keys. Above it new claims are refused;
-	// no key is dropped early, as its resend would run again.
+	// no key is dropped early, or a resent request would run again.
 	ClaimLimit = 200000
 	// MaxAnswerBytes is the maximum size of a response body that is stored for resends.
 	MaxAnswerBytes = 64 << 10
@@ -98,8 +98,8 @@
 	}
 }
 
-// claim allows one run of a non-idempotent request. Every later arrival of its key, at any
-// entry, receives the state of that run instead.
+// claim allows one run of a non-idempotent request. Every later request with its key, at
+// any entry, receives the state of that run instead.
 func (l *Ledger) claim(q *schema.ClaimRequest) *schema.Result {
 	k := claimKey{q.GetCustomer(), q.GetKey()}
 	if old, ok := l.claims.byKey[k]; ok {
--- a/internal/ledger/known.go
+++ b/internal/ledger/known.go
@@ -12,9 +12,10 @@
 	return valuesOf(r, (*schema.Record).GetKnownServer)
 }
 
-// rememberServers records the running backend servers. They announce themselves about once
-// a second. After a power loss of all hosts, the next leader would otherwise receive the
-// last announcement only then, and all waiting callers would be sent to the first server.
+// rememberServers records the running backend servers, which announce themselves about once
+// a second. Without the records, the first leader after a power loss of all hosts would have
+// to wait that long for the last of them, and all waiting callers would be sent to the first
+// server.
 func (l *Ledger) rememberServers(q *schema.RememberServers) *schema.Result {
 	for _, k := range q.GetServers() {
 		l.putIfChanged(&schema.Record{Key: KnownServerKey(k.GetId()), Value: &schema.Record_KnownServer{KnownServer: k}})
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -24,7 +24,7 @@
 	mu sync.RWMutex
 	// index is the log index of the last applied command.
 	index uint64
-	// clockMs is the highest leader's clock in a command; it never decreases.
+	// clockMs is the latest time of a leader's clock in a command; it never decreases.
 	clockMs int64
 	// configRevision is the index of the last confirmed plan.
 	configRevision uint64
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -422,16 +422,16 @@
 	t.Helper()
 	fx.ledger.View(func(_ ledger.Status, r *ledger.Records) {
 		for _, s := range r.Servers() {
-			busy := map[uint32]int{}
+			outstanding := map[uint32]int{}
 			for _, res := range r.ReservationsOnServer(s.GetName()) {
 				require.Equal(t, s.GetIncarnation(), res.GetIncarnation(), "seed %d step %d", seed, step)
 				if res.GetState() != schema.ReservationState_RESERVATION_STATE_LOADED {
-					busy[res.GetAccelerator()]++
+					outstanding[res.GetAccelerator()]++
 				}
 			}
 			for i, mib := range s.GetAcceleratorMib() {
 				require.LessOrEqual(t, r.UsedMiB(s.GetName(), uint32(i)), mib, "seed %d step %d", seed, step)
-				require.LessOrEqual(t, busy[uint32(i)], 1, "seed %d step %d: one order at a time", seed, step)
+				require.LessOrEqual(t, outstanding[uint32(i)], 1, "seed %d step %d: one order at a time", seed, step)
 			}
 		}
 	})
--- a/internal/ledger/reservations.go
+++ b/internal/ledger/reservations.go
@@ -49,9 +49,9 @@
 }
 
 func (l *Ledger) checkBounds(q *schema.Reserve, m *schema.Model) *schema.Result {
-	if held := len(l.records.byTarget[q.GetTarget()]); held >= int(m.GetMaxReplicas()) {
+	if replicas := len(l.records.byTarget[q.GetTarget()]); replicas >= int(m.GetMaxReplicas()) {
 		return refuse(schema.ResultCode_RESULT_CODE_OVER_BOUND, "%q has %d of %d replicas",
-			q.GetTarget(), held, m.GetMaxReplicas())
+			q.GetTarget(), replicas, m.GetMaxReplicas())
 	}
 	total := l.records.Server(q.GetServer()).GetAcceleratorMib()[q.GetAccelerator()]
 	used := l.records.UsedMiB(q.GetServer(), q.GetAccelerator())
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// moveReservation changes a reservation only under its latest fencing number: late reports
+// moveReservation changes a reservation only under its latest fencing number: late replies
 // to a deposed leader have an older one and change nothing.
 func (l *Ledger) moveReservation(q *schema.MoveReservation) *schema.Result {
 	r := l.records.Reservation(q.GetNumber())
--- a/internal/ledger/suspects_test.go
+++ b/internal/ledger/suspects_test.go
@@ -20,15 +20,15 @@
 		r := l.Apply(index, data)
 		require.Equal(t, schema.ResultCode_RESULT_CODE_OK, r.(*schema.Result).GetCode())
 	}
-	of := func(key byte, servers ...string) *schema.KnownSuspect {
+	knownSuspect := func(key byte, servers ...string) *schema.KnownSuspect {
 		s := &schema.Suspect{Key: []byte{key}}
 		for _, id := range servers {
 			s.Ended = append(s.Ended, &schema.EndedServer{Server: id})
 		}
 		return &schema.KnownSuspect{Suspect: s, AtMs: 5}
 	}
-	apply(1, &schema.RememberSuspects{Suspects: []*schema.KnownSuspect{of(1, "a"), of(2, "a", "b")}})
-	apply(2, &schema.RememberSuspects{Suspects: []*schema.KnownSuspect{of(2, "a", "b", "c")}, Forgotten: [][]byte{{1}, {9}}})
+	apply(1, &schema.RememberSuspects{Suspects: []*schema.KnownSuspect{knownSuspect(1, "a"), knownSuspect(2, "a", "b")}})
+	apply(2, &schema.RememberSuspects{Suspects: []*schema.KnownSuspect{knownSuspect(2, "a", "b", "c")}, Forgotten: [][]byte{{1}, {9}}})
 	data, err := l.Snapshot()
 	require.NoError(t, err)
 	restored := ledger.New()
--- a/internal/ledger/validation.go
+++ b/internal/ledger/validation.go
@@ -42,12 +42,12 @@
 	return l.validateServices(in)
 }
 
-func validateName(what, name string) string {
+func validateName(kind, name string) string {
 	if name == "" {
-		return what + " name is missing"
+		return kind + " name is missing"
 	}
 	if len(name) > maxNameLength || strings.ContainsAny(name, "/ \t\r\n\x00") {
-		return fmt.Sprintf("%s name %q: at most %d characters, without spaces and slashes", what, name, maxNameLength)
+		return fmt.Sprintf("%s name %q: at most %d characters, without spaces and slashes", kind, name, maxNameLength)
 	}
 	return ""
 }
