--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -18,15 +18,15 @@
 const (
 	// DefaultWindow is the default length of the window over which quotas are counted.
 	DefaultWindow = 8 * time.Second
-	// DemandWindowDivisor divides the window into the part over which demand is measured
-	// and the rest of the quota is spent. That part is several times the delay of the sums;
-	// otherwise the admitted rate would oscillate.
+	// DemandWindowDivisor divides the window: the quotient is the time over which demand is
+	// measured and the rest of the quota is spent. It is several times the delay of the
+	// sums; otherwise the admitted rate would oscillate.
 	DemandWindowDivisor = 4
 	// steadyFraction of the rate is admitted however much of the quota is used: usage that
 	// leaves the window can be spent again, but a sum does not show when it leaves.
 	steadyFraction = 0.3
-	// recentWindowDivisor divides the window into the part that shows a jump of demand
-	// first.
+	// recentWindowDivisor divides the window, too: the quotient is the shorter time over
+	// which a jump of demand shows first.
 	recentWindowDivisor = 16
 	// windowSlots is the number of slots of a window, a multiple of both divisors.
 	windowSlots = 32
@@ -40,8 +40,8 @@
 	return q.GetRatePerSecond()*window.Seconds() + q.GetBurst()
 }
 
-// Cost returns the cost of a request with some declared tokens; declared is false if the
-// request declares none.
+// Cost returns what a request costs: 1 if the quota counts requests, otherwise the tokens
+// that the request declares, or the quota's plain tokens if declared is false.
 func Cost(q *schema.Quota, tokens float64, declared bool) float64 {
 	switch {
 	case !q.GetTokens():
@@ -171,12 +171,12 @@
 	if requested == 0 {
 		return 0, true
 	}
-	spend := m.cfg.Window / DemandWindowDivisor
-	allowed := budget - admitted + steadyFraction*q.GetRatePerSecond()*spend.Seconds()
+	spendTime := m.cfg.Window / DemandWindowDivisor
+	allowed := budget - admitted + steadyFraction*q.GetRatePerSecond()*spendTime.Seconds()
 	if allowed >= requested || m.cfg.Random() < allowed/requested {
 		return 0, true
 	}
-	return max(secondsToDuration((admitted-budget)/q.GetRatePerSecond()), spend/2), false
+	return max(secondsToDuration((admitted-budget)/q.GetRatePerSecond()), spendTime/2), false
 }
 
 // admitWithoutTotals admits an entry's own share of a budget; the caller holds mu.
@@ -287,16 +287,16 @@
 
 // add adds a report of some age to the sums; the caller holds mu.
 func (t *Totals) add(sums map[string]*schema.TeamUse, uses *schema.TeamUses, age time.Duration) {
-	left := 1 - float64(age)/float64(t.window)
-	recent := max(1-float64(age)/(float64(t.window)/DemandWindowDivisor), 0)
+	admittedWeight := 1 - float64(age)/float64(t.window)
+	requestedWeight := max(1-float64(age)/(float64(t.window)/DemandWindowDivisor), 0)
 	for _, u := range uses.GetUses() {
 		sum := sums[u.GetTeam()]
 		if sum == nil {
 			sum = &schema.TeamUse{Team: u.GetTeam()}
 			sums[u.GetTeam()] = sum
 		}
-		sum.Admitted += u.GetAdmitted() * left
-		sum.Requested += u.GetRequested() * recent
-		sum.RequestedLately += u.GetRequestedLately() * recent
+		sum.Admitted += u.GetAdmitted() * admittedWeight
+		sum.Requested += u.GetRequested() * requestedWeight
+		sum.RequestedLately += u.GetRequestedLately() * requestedWeight
 	}
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -129,9 +129,9 @@
 			for _, times := range []float64{1.3, 3, 6} {
 				t.Run(fmt.Sprint(entries, " ", name, " ", times), func(t *testing.T) {
 					f := newFleet(1, entries, q)
-					at := func() int { return pick(f) }
-					f.run(10*time.Second, 0.4*q.GetRatePerSecond(), at)
-					f.run(20*time.Second, times*q.GetRatePerSecond(), at)
+					pickEntry := func() int { return pick(f) }
+					f.run(10*time.Second, 0.4*q.GetRatePerSecond(), pickEntry)
+					f.run(20*time.Second, times*q.GetRatePerSecond(), pickEntry)
 					require.LessOrEqual(t, f.maxInWindow(), budget*(1+maxOverage))
 					require.GreaterOrEqual(t, f.maxInWindow(), 0.85*budget)
 					t.Logf("most in a window %.3f of the budget, refused %d of %d", f.maxInWindow()/budget, f.refused, f.requests)
@@ -199,7 +199,7 @@
 
 func TestCost(t *testing.T) {
 	tokens, requests := &schema.Quota{Tokens: true, PlainTokens: 200}, &schema.Quota{PlainTokens: 200}
-	for name, x := range map[string]struct {
+	for name, tt := range map[string]struct {
 		q        *schema.Quota
 		tokens   float64
 		declared bool
@@ -211,7 +211,7 @@
 		"requests, undeclared":  {requests, 0, false, 1},
 		"as large as it can be": {tokens, 2 * float64(1<<63-1), true, 2 * float64(1<<63-1)},
 	} {
-		t.Run(name, func(t *testing.T) { require.Equal(t, x.want, quota.Cost(x.q, x.tokens, x.declared)) })
+		t.Run(name, func(t *testing.T) { require.Equal(t, tt.want, quota.Cost(tt.q, tt.tokens, tt.declared)) })
 	}
 }
 
