--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -22,7 +22,7 @@
 	// claimTimeout bounds the claim, so that a caller is refused promptly if the
 	// control group has no quorum.
 	claimTimeout = 2 * time.Second
-	// settleTimeout bounds how long an answer is delayed until its outcome is
+	// settleTimeout bounds how long a response is delayed until the outcome is
 	// recorded.
 	settleTimeout = 2 * time.Second
 	// settleRetryLimit bounds how long the record of an outcome is retried, in the
@@ -92,7 +92,7 @@
 	return h.Sum(nil)
 }
 
-// Begin claims a request. It returns a grant, or the recorded answer of an earlier
+// Begin claims a request. It returns a grant, or the recorded response to an earlier
 // request with the same key, or a refusal.
 func (c *Client) Begin(ctx context.Context, r Request) (*Grant, *schema.Answer, *refusal.Refusal) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
--- a/internal/incarnation/incarnation_test.go
+++ b/internal/incarnation/incarnation_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestKeysAreParsed(t *testing.T) {
-	for name, x := range map[string]struct {
-		of  incarnation.Name
-		key string
+	for title, tt := range map[string]struct {
+		name incarnation.Name
+		key  string
 	}{
 		"a start time":                {incarnation.Name{Server: "i-7f", StartMs: 1784556072000}, "i-7f@1784556072000"},
 		"no start time reported":      {incarnation.Name{Server: "i-7f"}, "i-7f"},
@@ -19,9 +19,9 @@
 		"an id with the separator":    {incarnation.Name{Server: "a@b", StartMs: 7}, "a@b@7"},
 		"no id":                       {incarnation.Name{}, ""},
 	} {
-		t.Run(name, func(t *testing.T) {
-			require.Equal(t, x.key, x.of.String())
-			require.Equal(t, x.of, incarnation.Parse(x.key))
+		t.Run(title, func(t *testing.T) {
+			require.Equal(t, tt.key, tt.name.String())
+			require.Equal(t, tt.name, incarnation.Parse(tt.key))
 		})
 	}
 	require.Equal(t, incarnation.Name{Server: "a@b"}, incarnation.Parse("a@b"))
