--- a/internal/loading/adapters.go
+++ b/internal/loading/adapters.go
@@ -12,9 +12,9 @@
 // the next, while all requests for its adapters are refused. An adapter loads in milliseconds,
 // and the engine's adapter slots bound how often one goes first.
 func (p *plan) loadWaitingAdapters() (others []ModelRef) {
-	for _, d := range p.in.WaitingAdapters {
-		if !p.loadWaitingAdapter(d) {
-			others = append(others, d)
+	for _, ref := range p.in.WaitingAdapters {
+		if !p.loadWaitingAdapter(ref) {
+			others = append(others, ref)
 		}
 	}
 	return others
@@ -22,11 +22,11 @@
 
 // loadWaitingAdapter loads an adapter at the engine with the most free adapter slots. It
 // returns false if no engine has one.
-func (p *plan) loadWaitingAdapter(d ModelRef) bool {
+func (p *plan) loadWaitingAdapter(ref ModelRef) bool {
 	var best *Engine
 	mostFree := 0
 	for _, e := range p.available {
-		if n := p.freeAdapterSlots(e); n > mostFree && hasModel(e, d.Model) {
+		if n := p.freeAdapterSlots(e); n > mostFree && hasModel(e, ref.Model) {
 			best, mostFree = e, n
 		}
 	}
@@ -34,20 +34,20 @@
 		return false
 	}
 	p.markBusy(best)
-	p.actions = append(p.actions, Action{Engine: best.ID, Load: true, Model: d.Model, Adapter: d.Adapter})
+	p.actions = append(p.actions, Action{Engine: best.ID, Load: true, Model: ref.Model, Adapter: ref.Adapter})
 	return true
 }
 
 // unloadIdleAdapter unloads the least recently used idle adapter to make room for one that
-// requests wait for, at the engine with the most free slots after late loads. An adapter with
-// requests is never unloaded: the engine takes no other order until they have ended, and
-// requests for its other adapters wait too.
-func (p *plan) unloadIdleAdapter(d ModelRef) {
+// requests wait for, at the engine with the most free adapter slots beside its adapters and late
+// loads. An adapter with requests is never unloaded: the engine takes no other order until they
+// have ended, and requests for its other adapters wait too.
+func (p *plan) unloadIdleAdapter(ref ModelRef) {
 	var best *Engine
 	var victim adapterRef
 	mostFree := math.MinInt
 	for _, e := range p.available {
-		if !hasModel(e, d.Model) {
+		if !hasModel(e, ref.Model) {
 			continue
 		}
 		if idle := leastRecentlyUsed(e); idle.adapter != "" && p.freeAdapterSlots(e) > mostFree {
@@ -58,7 +58,7 @@
 		return
 	}
 	p.markBusy(best)
-	p.actions = append(p.actions, Action{Engine: best.ID, Model: victim.model, Adapter: victim.adapter, RoomFor: d.Model})
+	p.actions = append(p.actions, Action{Engine: best.ID, Model: victim.model, Adapter: victim.adapter, RoomFor: ref.Model})
 }
 
 // preloadAdapters fills free slots with adapters of busy models: first those that no engine
@@ -95,7 +95,7 @@
 
 // nextAdapter returns the adapter to preload next at an engine: one of the busiest model that
 // no engine has, or else the one that this engine does not have with the highest request rate
-// per copy. copies counts the engines that have each adapter.
+// per copy, counting the new one. copies counts the engines that have each adapter.
 func (p *plan) nextAdapter(e *Engine, copies map[adapterRef]int) adapterRef {
 	var unloaded, extraCopy adapterRef
 	rate, ratePerCopy := preloadMinRate, adapterCopyMinRate
@@ -122,8 +122,8 @@
 	return extraCopy
 }
 
-// adapterCopyMinRate is the request rate per copy, in 1/s, above which an adapter gets another
-// copy. One engine serves all requests of an adapter below it.
+// adapterCopyMinRate is the request rate per copy, in 1/s and counting the new copy, above which
+// an adapter gets another copy. One engine serves all requests of an adapter below it.
 const adapterCopyMinRate = 0.1
 
 // preloadMinRate is the request rate of a model, in 1/s, from which its adapters are preloaded.
--- a/internal/loading/cluster_test.go
+++ b/internal/loading/cluster_test.go
@@ -36,8 +36,8 @@
 	mu      sync.Mutex
 	random  *rand.Rand
 	engines map[string]*fakeEngine
-	// unansweredShare is the share of orders without a reply; half of these are executed late.
-	unansweredShare float64
+	// noReplyShare is the share of orders without a reply; half of these are executed late.
+	noReplyShare    float64
 	storeLoadStarts []time.Time
 	// storeLoadTime is how long a load from the weight store takes.
 	storeLoadTime time.Duration
@@ -87,11 +87,11 @@
 			draw := s.random.Float64()
 			delay := time.Duration(2000+s.random.IntN(10000)) * time.Millisecond
 			s.mu.Unlock()
-			if draw < s.unansweredShare/2 {
+			if draw < s.noReplyShare/2 {
 				<-ctx.Done()
 				return loading.OutcomeUnknown, errors.New("lost")
 			}
-			if draw < s.unansweredShare {
+			if draw < s.noReplyShare {
 				// The order arrives long after its sender has timed out.
 				time.AfterFunc(delay, func() { s.execute(holder, o, true) })
 				<-ctx.Done()
--- a/internal/loading/cost.go
+++ b/internal/loading/cost.go
@@ -3,8 +3,8 @@
 import "time"
 
 // blockedRequests returns the expected number of requests that wait because an engine takes no
-// other order while it loads m: unloaded models with a copy there, including the victims of the
-// load, can't be reloaded there meanwhile.
+// other order while it loads m: models with a copy there that no engine has loaded can't be
+// loaded there meanwhile. The victims of the load are among them.
 func (p *plan) blockedRequests(e *Engine, m *Model, victims []string) float64 {
 	sum, cached := p.copyOnlyRates[e.ID]
 	if !cached {
--- a/internal/loading/crashes_test.go
+++ b/internal/loading/crashes_test.go
@@ -49,8 +49,8 @@
 	})
 }
 
-// Engines that crash at the same moment, as those of a rack do, while they load a model in high
-// demand, do not count against the model: it is loaded elsewhere at once.
+// Engines that end at the same moment, as those of a rack that loses power do, while they load a
+// model in high demand, do not count against the model: it is loaded elsewhere at once.
 func TestRackFailureDoesNotSuspendModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newCluster(t, 1)
@@ -111,11 +111,11 @@
 	})
 }
 
-// Engines crash every second or two, whatever they do, and three in a row crash under loads of
-// one model. Its loads were suspended for a minute, at engines that ran well again, and all
-// requests for it were refused. As many engines crash without a load and under other loads: the
+// Engines end every second or two, whatever they do, and three in a row end under loads of one
+// model. Its loads were suspended for a minute, although the engines ran well again, and all
+// requests for it were refused. As many engines end without a load and under other loads: the
 // model must be loaded as soon as an engine is available.
-func TestUnrelatedCrashesDoNotSuspendModel(t *testing.T) {
+func TestUnrelatedEngineEndsDoNotSuspendModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newCluster(t, 1)
 		s.restartAll()
--- a/internal/loading/demand.go
+++ b/internal/loading/demand.go
@@ -37,12 +37,12 @@
 
 // demand is the demand for one target, summed over all entries.
 type demand struct {
-	// rate and recent are averages over rateWindow and riseWindow, as of lastRequested.
+	// rate and recentRate are averages over rateWindow and riseWindow, as of lastRequested.
 	rate          float64
-	recent        float64
+	recentRate    float64
 	lastRequested time.Time
-	// prefillLoad is the share of an engine's time that reading its prompts takes, averaged
-	// over rateWindow.
+	// prefillLoad is the share of an engine's time that the prefill of its prompts takes,
+	// averaged over rateWindow.
 	prefillLoad float64
 	// concurrency is the number of requests at engines, averaged over rateWindow.
 	concurrency float64
@@ -56,13 +56,13 @@
 	d.concurrency = d.decayed(d.concurrency, rateWindow, now) + runTime.Seconds()/rateWindow.Seconds()
 	d.prefillLoad = d.decayed(d.prefillLoad, rateWindow, now) + prefill.Seconds()/rateWindow.Seconds()
 	d.rate = d.decayed(d.rate, rateWindow, now) + float64(n)/rateWindow.Seconds()
-	d.recent = d.decayed(d.recent, riseWindow, now) + float64(n)/riseWindow.Seconds()
+	d.recentRate = d.decayed(d.recentRate, riseWindow, now) + float64(n)/riseWindow.Seconds()
 	d.lastRequested = now
 }
 
 // decayed returns an average decayed since the last request.
-func (d *demand) decayed(of float64, window time.Duration, now time.Time) float64 {
-	return of * math.Exp(-now.Sub(d.lastRequested).Seconds()/window.Seconds())
+func (d *demand) decayed(average float64, window time.Duration, now time.Time) float64 {
+	return average * math.Exp(-now.Sub(d.lastRequested).Seconds()/window.Seconds())
 }
 
 // expectedRate returns the rate expected riseHorizon from now. An average lags behind linear
@@ -71,13 +71,13 @@
 // second replica ten seconds after its first requests, all of which queue at one engine
 // meanwhile.
 func (d *demand) expectedRate(now time.Time) float64 {
-	rate, recent := d.decayed(d.rate, rateWindow, now), d.decayed(d.recent, riseWindow, now)
+	rate, recentRate := d.decayed(d.rate, rateWindow, now), d.decayed(d.recentRate, riseWindow, now)
 	deviation := math.Sqrt(rate / (2 * riseWindow.Seconds()))
-	if recent < rate+riseMinDeviations*deviation || recent*riseWindow.Seconds() < riseMinRequests {
+	if recentRate < rate+riseMinDeviations*deviation || recentRate*riseWindow.Seconds() < riseMinRequests {
 		return rate
 	}
-	growth := (recent - rate) / (rateWindow - riseWindow).Seconds()
-	return recent + growth*(riseWindow+riseHorizon).Seconds()
+	growth := (recentRate - rate) / (rateWindow - riseWindow).Seconds()
+	return recentRate + growth*(riseWindow+riseHorizon).Seconds()
 }
 
 // meanTimes returns the mean prefill time and the mean run time of a request; 0 while no
@@ -107,14 +107,14 @@
 	defer d.mu.Unlock()
 	now := d.cfg.Now()
 	urgent := false
-	for _, x := range demands {
-		t := target{x.GetPool(), x.GetModel(), x.GetAdapter()}
-		if d.recordDemand(entry, t, x, now) {
+	for _, reported := range demands {
+		t := target{reported.GetPool(), reported.GetModel(), reported.GetAdapter()}
+		if d.recordDemand(entry, t, reported, now) {
 			urgent = true
 		}
 		if t.adapter != "" {
-			d.recordAdapterUse(t, x, now)
-			modelDemand := &schema.ModelDemand{Arrived: x.GetArrived(), ReadUs: x.GetReadUs(), RanUs: x.GetRanUs()}
+			d.recordAdapterUse(t, reported, now)
+			modelDemand := &schema.ModelDemand{Arrived: reported.GetArrived(), ReadUs: reported.GetReadUs(), RanUs: reported.GetRanUs()}
 			d.recordDemand(entry, target{t.pool, t.model, ""}, modelDemand, now)
 		}
 	}
@@ -123,30 +123,30 @@
 	}
 }
 
-// recordDemand records a demand of an entry. It reports whether requests wait.
-func (d *Driver) recordDemand(entry string, t target, x *schema.ModelDemand, now time.Time) bool {
-	m := d.demands[t]
-	if m == nil {
-		m = &demand{waiting: map[string]int{}, lastRequested: now}
-		d.demands[t] = m
+// recordDemand records an entry's demand for a target. It reports whether requests wait.
+func (d *Driver) recordDemand(entry string, t target, reported *schema.ModelDemand, now time.Time) bool {
+	dm := d.demands[t]
+	if dm == nil {
+		dm = &demand{waiting: map[string]int{}, lastRequested: now}
+		d.demands[t] = dm
 	}
-	if x.GetArrived() > 0 || x.GetReadUs() > 0 || x.GetRanUs() > 0 {
-		m.record(int(x.GetArrived()), time.Duration(x.GetReadUs())*time.Microsecond, time.Duration(x.GetRanUs())*time.Microsecond, now)
+	if reported.GetArrived() > 0 || reported.GetReadUs() > 0 || reported.GetRanUs() > 0 {
+		dm.record(int(reported.GetArrived()), time.Duration(reported.GetReadUs())*time.Microsecond, time.Duration(reported.GetRanUs())*time.Microsecond, now)
 	}
-	if x.GetModel() == "" {
+	if reported.GetModel() == "" {
 		return false
 	}
-	if x.GetWaiting() == 0 {
-		delete(m.waiting, entry)
+	if reported.GetWaiting() == 0 {
+		delete(dm.waiting, entry)
 		return false
 	}
-	m.waiting[entry] = int(x.GetWaiting())
+	dm.waiting[entry] = int(reported.GetWaiting())
 	return true
 }
 
 // recordAdapterUse sets the last use of an adapter at every engine that has it.
-func (d *Driver) recordAdapterUse(t target, x *schema.ModelDemand, now time.Time) {
-	if x.GetArrived() == 0 {
+func (d *Driver) recordAdapterUse(t target, reported *schema.ModelDemand, now time.Time) {
+	if reported.GetArrived() == 0 {
 		return
 	}
 	for _, e := range d.engines {
@@ -162,8 +162,8 @@
 func (d *Driver) RemoveEntry(entry string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, m := range d.demands {
-		delete(m.waiting, entry)
+	for _, dm := range d.demands {
+		delete(dm.waiting, entry)
 	}
 }
 
@@ -186,11 +186,11 @@
 	defer d.mu.Unlock()
 	now := d.cfg.Now()
 	var out []*schema.LoadForecast
-	for _, x := range waiting {
-		t := target{x.GetPool(), x.GetModel(), x.GetAdapter()}
+	for _, wanted := range waiting {
+		t := target{wanted.GetPool(), wanted.GetModel(), wanted.GetAdapter()}
 		f, ok := d.forecasts[t]
 		if !ok || now.Sub(f.at) > forecastCacheTime {
-			f = forecast{at: now, readyInMs: d.forecastMs(x, now)}
+			f = forecast{at: now, readyInMs: d.forecastMs(wanted, now)}
 			d.forecasts[t] = f
 		}
 		out = append(out, &schema.LoadForecast{Pool: t.pool, Model: t.model, Adapter: t.adapter, ReadyInMs: f.readyInMs})
@@ -199,16 +199,16 @@
 }
 
 // forecastMs returns the time in ms until a target is ready; -1: no load is expected.
-func (d *Driver) forecastMs(x *schema.ModelDemand, now time.Time) int64 {
+func (d *Driver) forecastMs(wanted *schema.ModelDemand, now time.Time) int64 {
 	ready := int64(-1)
 	for _, e := range d.engines {
-		// A new order holder sends no orders until then; loads in progress continue.
+		// A new order holder sends no orders before ordersAllowedFrom; loads in progress continue.
 		delay := max(e.ordersAllowedFrom.Sub(now), 0)
-		if in, ok := d.readyIn(e, x, delay, now); ok && (ready < 0 || in.Milliseconds() < ready) {
+		if in, ok := d.readyIn(e, wanted, delay, now); ok && (ready < 0 || in.Milliseconds() < ready) {
 			ready = in.Milliseconds()
 		}
 	}
-	if suspended := d.suspendedFor(x.GetPool(), x.GetModel(), now); suspended > 0 && !d.isLoaded(x.GetPool(), x.GetModel()) {
+	if suspended := d.suspendedFor(wanted.GetPool(), wanted.GetModel(), now); suspended > 0 && !d.isLoaded(wanted.GetPool(), wanted.GetModel()) {
 		return suspended.Milliseconds()
 	}
 	return ready
@@ -227,33 +227,33 @@
 // readyIn returns the time until an engine can serve a target, if it has the model, its order
 // in progress loads or makes room for it, or it has a copy to load from. delay is the time
 // until the engine can get its next order.
-func (d *Driver) readyIn(e *engine, x *schema.ModelDemand, delay time.Duration, now time.Time) (time.Duration, bool) {
-	if e.pool != x.GetPool() {
+func (d *Driver) readyIn(e *engine, wanted *schema.ModelDemand, delay time.Duration, now time.Time) (time.Duration, bool) {
+	if e.pool != wanted.GetPool() {
 		return 0, false
 	}
-	if l := e.loaded[x.GetModel()]; l != nil && e.unloading() != x.GetModel() {
-		if _, loaded := l.Adapters[x.GetAdapter()]; x.GetAdapter() != "" && !loaded {
+	if l := e.loaded[wanted.GetModel()]; l != nil && e.unloading() != wanted.GetModel() {
+		if _, loaded := l.Adapters[wanted.GetAdapter()]; wanted.GetAdapter() != "" && !loaded {
 			delay = max(delay, d.adapterDelay(e, now))
 		}
 		return delay + adapterLoadTime, true
 	}
 	if e.phase <= phaseKnown || e.order.Adapter != "" {
-		return d.loadableIn(e, x.GetModel(), delay)
+		return d.loadableIn(e, wanted.GetModel(), delay)
 	}
 	switch {
-	case e.order.Load && e.order.Model == x.GetModel() && delay > 0:
+	case e.order.Load && e.order.Model == wanted.GetModel() && delay > 0:
 		return delay + d.loadTime(e), true
-	case e.order.Load && e.order.Model == x.GetModel():
+	case e.order.Load && e.order.Model == wanted.GetModel():
 		return remainingLoadTime(now.Sub(e.orderedAt), d.loadTime(e)), true
-	case !e.order.Load && e.order.RoomFor == x.GetModel():
-		return d.loadTimeOf(e, x.GetModel()) + completionGrace, true
+	case !e.order.Load && e.order.RoomFor == wanted.GetModel():
+		return d.loadTimeOf(e, wanted.GetModel()) + completionGrace, true
 	}
 	return 0, false
 }
 
 // adapterDelay returns how long the order in progress keeps an engine from loading an adapter.
-// A forecast without it promises milliseconds while the engine loads another model for seconds,
-// and requests wait in vain.
+// A forecast without it is a few milliseconds while the engine loads another model for seconds,
+// and requests wait until their deadline.
 func (d *Driver) adapterDelay(e *engine, now time.Time) time.Duration {
 	if e.phase <= phaseKnown || e.order.Adapter != "" || !e.order.Load {
 		return 0
@@ -272,8 +272,8 @@
 }
 
 // loadableIn returns the time until an engine without an order can have a model of which it has
-// a copy. With this forecast requests for a rare model survive a change of leader if their
-// deadline allows, instead of being refused for want of a forecast.
+// a copy. With this forecast requests for a rare model wait during a change of leader if their
+// deadline allows it, instead of being refused for want of a forecast.
 func (d *Driver) loadableIn(e *engine, model string, delay time.Duration) (time.Duration, bool) {
 	if !e.inMemory[model] && !e.onDisk[model] {
 		return 0, false
--- a/internal/loading/demand_test.go
+++ b/internal/loading/demand_test.go
@@ -58,20 +58,20 @@
 // Random fluctuations of a constant rate must not count as a rise: each surplus replica costs a
 // load, and takes the room of another model that has requests.
 func TestConstantRateIsNotARise(t *testing.T) {
-	for name, x := range map[string]struct{ rate, limit float64 }{
+	for name, test := range map[string]struct{ rate, limit float64 }{
 		"rare": {0.1, 0.2}, "seldom": {0.5, 0.8}, "busy": {3, 3.8}, "very busy": {12, 13.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var sum float64
 			n := 0
 			for seed := range uint64(100) {
-				for _, rate := range expectedRates(seed, 60*time.Second, constantRate(x.rate))[200:] {
+				for _, rate := range expectedRates(seed, 60*time.Second, constantRate(test.rate))[200:] {
 					sum += rate
 					n++
 				}
 			}
-			require.Less(t, sum/float64(n), x.limit)
-			require.Greater(t, sum/float64(n), 0.8*x.rate)
+			require.Less(t, sum/float64(n), test.limit)
+			require.Greater(t, sum/float64(n), 0.8*test.rate)
 		})
 	}
 }
--- a/internal/loading/driver.go
+++ b/internal/loading/driver.go
@@ -28,37 +28,38 @@
 	// with a burst of orders for a whole fleet some hundred milliseconds; orders whose
 	// confirmation timed out are sent again, and cost it more work than those that go through.
 	confirmationTimeout = 400 * time.Millisecond
-	// LeadershipProofMaxAge is the maximal age of the quorum's confirmation of a leader with
-	// which it answers an order holder. A round of the group for each order would cost the
-	// leader of a large fleet more than all its other work.
+	// LeadershipProofMaxAge is the maximal age of the quorum's confirmation of a leader when the
+	// leader confirms its term to an order holder. A round of the group for each order would
+	// cost the leader of a large fleet more than all its other work.
 	LeadershipProofMaxAge = 150 * time.Millisecond
-	// leaseMargin is added to the pause between the orders of two holders. An order of the old
-	// holder arrives within LeadershipProofMaxAge, the longer of confirmationTimeout and
-	// confirmationMaxAge, during which its confirmation was valid, and orderTimeout, after
-	// which its connection is reset; the rest is for the network delay in between.
+	// leaseMargin is added to the pause between the orders of two holders. The last order of the
+	// old holder arrives within the sum of LeadershipProofMaxAge, the longer of
+	// confirmationTimeout and confirmationMaxAge, as long as its confirmation was valid, and
+	// orderTimeout, after which its connection is reset; the rest is for the network delay in
+	// between.
 	leaseMargin = LeadershipProofMaxAge + max(confirmationTimeout, confirmationMaxAge) + orderTimeout + 50*time.Millisecond
-	// An order holder is replaced after it has failed to send orders holderFailureTries times
+	// An order holder is replaced after it has failed to send orders holderFailureAttempts times
 	// over holderFailureTimeout: a host restarts within a second. The limits for an engine that
-	// does not reply to its holder are longer: most often the engine is gone or slow, and
+	// does not reply to its holder are higher: most often the engine is gone or slow, and
 	// another holder costs a lease.
-	holderFailureTimeout = time.Second
-	holderFailureTries   = 2
-	engineFailureTimeout = 4 * time.Second
-	engineFailureTries   = 6
-	// adapterLoadTime is how long an engine takes to fetch an adapter. Earlier requests are
-	// refused as not run and sent again.
+	holderFailureTimeout  = time.Second
+	holderFailureAttempts = 2
+	engineFailureTimeout  = 4 * time.Second
+	engineFailureAttempts = 6
+	// adapterLoadTime is how long an engine takes to fetch an adapter. Requests that arrive
+	// earlier are refused as not run and sent again.
 	adapterLoadTime = 15 * time.Millisecond
 	// completionGrace is how long after the expected end of a load the engine is queried for a
 	// report. Queries are repeated, as orders are, after retryDelay.
 	completionGrace = 250 * time.Millisecond
 	retryDelay      = 300 * time.Millisecond
-	// An order without a reply is sent again after retryDelay triesBeforeBackoff times. Each
-	// triesPerDoubling further tries double the delay, up to maxRetryDelay. Without the
-	// backoff, when dozens of engines were cut off from their holders, repeated orders cost a
-	// leader 150 calls per second, and it lost its leadership.
-	triesBeforeBackoff = 3
-	maxRetryDelay      = 4 * retryDelay
-	triesPerDoubling   = 2
+	// An order without a reply is sent again attemptsBeforeBackoff times, each after retryDelay.
+	// Each attemptsPerDoubling further attempts double the delay, up to maxRetryDelay. Without
+	// the backoff, when dozens of engines were cut off from their holders, repeated orders cost
+	// a leader 150 calls per second, and it lost its leadership.
+	attemptsBeforeBackoff = 3
+	maxRetryDelay         = 4 * retryDelay
+	attemptsPerDoubling   = 2
 	// maxConcurrentQueries is how many engines are queried for a report at a time. A new leader
 	// queries all engines, and its host with a quarter of a core must send heartbeats in
 	// between: with 240 concurrent queries leaders lost their leadership, and the next one
@@ -131,7 +132,7 @@
 	// if this leader replaced the previous one. It outlives the server's incarnations.
 	ordersAllowedFrom map[string]time.Time
 	demands           map[target]*demand
-	// crashes counts the engines that crashed under loads of a model, by model.
+	// crashes counts the engines that ended under loads of a model, by model.
 	crashes map[target]*loadCrashes
 	// storeLoadStarts are the times at which loads from the store may have begun, by pool.
 	storeLoadStarts map[string][]time.Time
@@ -220,9 +221,9 @@
 		e.setLoaded(a.Loaded, now)
 	case phaseKnown:
 		// The age of an announcement that was delayed by a partition is unknown, and so is the
-		// number of orders taken before it. An order with the number from a report but for the
-		// models and adapters of an older announcement is not refused, and crashes an engine
-		// without room for its load. A report has both as of one moment.
+		// number of orders taken before it. An order that combines the number from a report
+		// with the models and adapters from an older announcement is not refused, and crashes
+		// an engine that has no room for its load. A report has both as of one moment.
 		if receivedAt.Sub(e.changedAt) > announcementMaxLag && !e.loadedMatches(a.Loaded) {
 			d.cfg.Log.Info("engine announces other models", "server", e.id, "sequence", a.Sequence,
 				"announced", modelNames(a.Loaded), "believed", modelNames(e.routableModels()))
@@ -281,7 +282,8 @@
 // those of its announcement.
 func (d *Driver) publish(e *engine) { d.cfg.Roster.SetModels(e.id, e.routableModels()) }
 
-// runRound does what is due, and returns the number of engines.
+// runRound removes engines that are gone, advances the orders of the others and, as the leader,
+// assigns order holders and sends new orders. It returns the number of engines.
 func (d *Driver) runRound() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -291,7 +293,7 @@
 	for id, e := range d.engines {
 		if !d.cfg.Roster.Ready(id) {
 			if e.phase != phaseSending {
-				d.recordCrash(e, now)
+				d.recordEnd(e, now)
 				d.retainLateLoads(e, now)
 				d.removeEngine(e)
 			}
@@ -387,12 +389,13 @@
 		if now.Before(e.ordersAllowedFrom) {
 			return
 		}
-		e.notBefore = now.Add(retryDelayAfter(e.tries))
+		e.notBefore = now.Add(retryDelayAfter(e.attempts))
 		d.sendOrder(e, now)
 	case phaseKnown, phaseSending:
 	}
 }
 
+// decisionInput returns the input of Decide for a pool.
 func (d *Driver) decisionInput(p *pool, now time.Time) Input {
 	in := Input{
 		Now: now, MemoryMB: p.spec.GetMemoryMb(), AdapterSlots: int(p.spec.GetAdapterPlaces()), Models: map[string]*Model{},
@@ -400,13 +403,13 @@
 	for name, configured := range p.models {
 		m := *configured
 		m.Suspended = d.suspendedFor(p.name, name, now) > 0
-		if x := d.demands[target{p.name, name, ""}]; x != nil {
-			m.Rate, m.LastRequested, m.Waiting = x.expectedRate(now), x.lastRequested, x.totalWaiting()
-			m.PrefillTime, m.RequestTime = x.meanTimes()
+		if dm := d.demands[target{p.name, name, ""}]; dm != nil {
+			m.Rate, m.LastRequested, m.Waiting = dm.expectedRate(now), dm.lastRequested, dm.totalWaiting()
+			m.PrefillTime, m.RequestTime = dm.meanTimes()
 		}
 		in.Models[name] = &m
 	}
-	for t, x := range d.demands {
+	for t, dm := range d.demands {
 		m := in.Models[t.model]
 		if t.pool != p.name || t.adapter == "" || m == nil {
 			continue
@@ -414,11 +417,11 @@
 		if m.AdapterRate == nil {
 			m.AdapterRate = map[string]float64{}
 		}
-		m.AdapterRate[t.adapter] = x.decayed(x.rate, rateWindow, now)
-		if x.totalWaiting() == 0 {
+		m.AdapterRate[t.adapter] = dm.decayed(dm.rate, rateWindow, now)
+		if dm.totalWaiting() == 0 {
 			continue
 		}
-		m.Waiting += x.totalWaiting()
+		m.Waiting += dm.totalWaiting()
 		if !d.isLoadedOrIncoming(t) {
 			in.WaitingAdapters = append(in.WaitingAdapters, ModelRef{Model: t.model, Adapter: t.adapter})
 		}
--- a/internal/loading/driver_test.go
+++ b/internal/loading/driver_test.go
@@ -201,7 +201,7 @@
 	}
 }
 
-// As TestOrdersUnderFaults, but engines crash and restart under their ids. An order to the
+// As TestOrdersUnderFaults, but engines end and restart under their ids. An order to the
 // previous incarnation that got no reply is executed by the next, whose number of orders taken
 // has become the same: if the engine is full by then it is ordered to load more than fits, and
 // crashes with all its requests. The first announcement of each incarnation must be accepted,
@@ -242,7 +242,7 @@
 }
 
 func runSchedule(t *testing.T, s *cluster) {
-	s.unansweredShare = s.random.Float64() * 0.5
+	s.noReplyShare = s.random.Float64() * 0.5
 	h := newControlHosts(s)
 	for round := range uint64(50) {
 		s.mu.Lock()
@@ -473,9 +473,9 @@
 // Dozens of engines are cut off, and no order to them gets a reply. Each order is soon repeated
 // at first, as a reply is lost now and then, and then at growing intervals: the constant
 // repetition of the same calls makes a leader lose its leadership.
-func TestUnansweredOrdersBackOff(t *testing.T) {
-	for tries, want := range []time.Duration{300, 300, 300, 300, 600, 600, 1200, 1200, 1200} {
-		require.Equal(t, want*time.Millisecond, loading.RetryDelayAfter(tries), tries)
+func TestOrdersWithoutReplyBackOff(t *testing.T) {
+	for attempts, want := range []time.Duration{300, 300, 300, 300, 600, 600, 1200, 1200, 1200} {
+		require.Equal(t, want*time.Millisecond, loading.RetryDelayAfter(attempts), attempts)
 	}
 	require.Equal(t, 1200*time.Millisecond, loading.RetryDelayAfter(1000))
 }
--- a/internal/loading/engine.go
+++ b/internal/loading/engine.go
@@ -51,7 +51,7 @@
 	// storeConcurrency is the number of loads that the weight store served when it began this
 	// one, including it.
 	storeConcurrency int
-	tries            int
+	attempts         int
 	// changedAt is when an order last changed the loaded models; older reports of them are
 	// ignored.
 	changedAt time.Time
@@ -65,11 +65,12 @@
 	// holder.
 	holder            Holder
 	ordersAllowedFrom time.Time
-	// unanswered counts consecutive orders without a reply, since unansweredSince.
+	// missedReplies is the number of consecutive orders without a reply, since
+	// missedRepliesSince.
 	// failedAtHolder is set if the last one failed at the order holder, not at the engine.
-	unanswered      int
-	unansweredSince time.Time
-	failedAtHolder  bool
+	missedReplies      int
+	missedRepliesSince time.Time
+	failedAtHolder     bool
 	// unconfirmed are loads that were ordered without a conclusive reply, and lateLoads those
 	// that were ordered of earlier incarnations of the server; oldest first.
 	unconfirmed, lateLoads []sentLoad
@@ -215,5 +216,5 @@
 			delete(l.Adapters, o.Adapter)
 		}
 	}
-	e.phase, e.changedAt, e.tries = phaseKnown, now, 0
+	e.phase, e.changedAt, e.attempts = phaseKnown, now, 0
 }
--- a/internal/loading/export_test.go
+++ b/internal/loading/export_test.go
@@ -31,4 +31,4 @@
 }
 
 // RetryDelayAfter returns the delay before an order without a reply is sent again.
-func RetryDelayAfter(tries int) time.Duration { return retryDelayAfter(tries) }
+func RetryDelayAfter(attempts int) time.Duration { return retryDelayAfter(attempts) }
--- a/internal/loading/holders.go
+++ b/internal/loading/holders.go
@@ -14,11 +14,11 @@
 // recordReply counts consecutive orders without a reply.
 func (e *engine) recordReply(o Outcome, err error, now time.Time) {
 	if o != OutcomeUnknown {
-		e.unanswered = 0
+		e.missedReplies = 0
 		return
 	}
-	if e.unanswered++; e.unanswered == 1 {
-		e.unansweredSince = now
+	if e.missedReplies++; e.missedReplies == 1 {
+		e.missedRepliesSince = now
 	}
 	e.failedAtHolder = errors.Is(err, ErrNotSent) || errors.Is(err, ErrNoHolderReply)
 }
@@ -26,11 +26,11 @@
 // holderFailed reports whether an engine's order holder seems to be gone, or cut off from the
 // engine.
 func (e *engine) holderFailed(now time.Time) bool {
-	tries, timeout := engineFailureTries, engineFailureTimeout
+	attempts, timeout := engineFailureAttempts, engineFailureTimeout
 	if e.failedAtHolder {
-		tries, timeout = holderFailureTries, holderFailureTimeout
+		attempts, timeout = holderFailureAttempts, holderFailureTimeout
 	}
-	return e.unanswered >= tries && now.Sub(e.unansweredSince) > timeout && e.phase != phaseSending
+	return e.missedReplies >= attempts && now.Sub(e.missedRepliesSince) > timeout && e.phase != phaseSending
 }
 
 // recordTimeout bounds the recording of holders, which takes a commit of the group.
@@ -160,10 +160,10 @@
 		e.ordersAllowedFrom = now.Add(d.cfg.OrderLease + leaseMargin)
 		d.ordersAllowedFrom[e.server] = e.ordersAllowedFrom
 		d.cfg.Log.Info("order holder replaced", "server", e.id, "from", c.From, "to", recorded.Host, "meant", c.To.Host,
-			"missed", e.unanswered, "orders-from-ms", (d.cfg.OrderLease + leaseMargin).Milliseconds())
+			"missed", e.missedReplies, "orders-from-ms", (d.cfg.OrderLease + leaseMargin).Milliseconds())
 	}
 	if e.holder.Host != recorded.Host {
-		e.unanswered = 0
+		e.missedReplies = 0
 	}
 	e.holder = recorded
 }
--- a/internal/loading/input.go
+++ b/internal/loading/input.go
@@ -13,9 +13,9 @@
 	MemoryLoadTime time.Duration
 	// Rate is the request rate, in 1/s, expected in the next seconds.
 	Rate float64
-	// PrefillTime is how long an engine takes to read a prompt of the model; 0: unknown.
+	// PrefillTime is the mean prefill time of a request of the model; 0: unknown.
 	PrefillTime time.Duration
-	// RequestTime is how long a request of the model runs at an engine; 0: unknown.
+	// RequestTime is the mean time that a request of the model runs at an engine; 0: unknown.
 	RequestTime time.Duration
 	// LastRequested is when the last request arrived.
 	LastRequested time.Time
--- a/internal/loading/late.go
+++ b/internal/loading/late.go
@@ -110,8 +110,8 @@
 	e.lateLoads = dropExpired(e.lateLoads, now)
 	var out []ModelRef
 	for _, l := range e.lateLoads {
-		if x := (ModelRef{Model: l.model, Adapter: l.adapter}); !slices.Contains(out, x) {
-			out = append(out, x)
+		if ref := (ModelRef{Model: l.model, Adapter: l.adapter}); !slices.Contains(out, ref) {
+			out = append(out, ref)
 		}
 	}
 	return out
--- a/internal/loading/late_test.go
+++ b/internal/loading/late_test.go
@@ -15,8 +15,8 @@
 // executed. An engine that loads more than fits crashes with all its requests: late loads have
 // reserved room, and models that they may load again are not unloaded for others.
 func TestRoomIsReservedForLateLoads(t *testing.T) {
-	withLate := func(e *loading.Engine, x ...loading.ModelRef) *loading.Engine {
-		e.LateLoads = x
+	withLate := func(e *loading.Engine, late ...loading.ModelRef) *loading.Engine {
+		e.LateLoads = late
 		return e
 	}
 	modelC, a9 := loading.ModelRef{Model: "c"}, loading.ModelRef{Model: "a", Adapter: "a9"}
@@ -33,7 +33,7 @@
 		in.WaitingAdapters = []loading.ModelRef{{Model: "a", Adapter: "a8"}}
 		return in
 	}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		in    loading.Input
 		loads bool
 	}{
@@ -44,12 +44,12 @@
 		"a late adapter reserves the last slot": {withWaitingAdapter(withLate(full(), a9)), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			actions, _ := loading.Decide(x.in)
+			actions, _ := loading.Decide(test.in)
 			loads := false
 			for _, a := range actions {
 				loads = loads || a.Load
 			}
-			require.Equal(t, x.loads, loads, "%+v", actions)
+			require.Equal(t, test.loads, loads, "%+v", actions)
 		})
 	}
 	twice := withLate(engine("e1", "a", "c"), loading.ModelRef{Model: "a"}, modelC)
--- a/internal/loading/order.go
+++ b/internal/loading/order.go
@@ -88,10 +88,10 @@
 	Servers func() []string
 	// Hosts returns the hosts that may be holders.
 	Hosts func() []string
-	// Record records changes of holders, by engine, each only if From is the recorded holder,
-	// and removes the forgotten engines. Without an error the changes are durable at a quorum,
-	// and Get returns the result.
-	Record func(ctx context.Context, changes map[string]HolderChange, forgotten []string) error
+	// Record records changes of holders, by server, each only if From is the recorded holder,
+	// and removes the holders of the stale servers. Without an error the changes are durable at
+	// a quorum, and Get returns the result.
+	Record func(ctx context.Context, changes map[string]HolderChange, stale []string) error
 	// SendOrder sends an order to an engine through its holder. It returns ErrNotSent if the
 	// order was not sent.
 	SendOrder func(ctx context.Context, host string, term uint64, address string, o Order) (Outcome, error)
--- a/internal/loading/plan.go
+++ b/internal/loading/plan.go
@@ -10,7 +10,9 @@
 
 // plan is the state of one decision.
 type plan struct {
-	in       Input
+	in Input
+	// replicas counts, by model, the engines that have it loaded or load it next, and copies
+	// those with a copy on disk or a load in progress.
 	replicas map[string]int
 	copies   map[string]int
 	// replicaEngines are the engines that have a model and do not unload it, in the order of
@@ -23,7 +25,7 @@
 	utilization map[*Engine]float64
 	// slotShares caches meanSlotShare, by model.
 	slotShares map[string]float64
-	// available are the engines that take an order; addAction removes them.
+	// available are the engines that take an order; markBusy removes them.
 	available []*Engine
 	// adapterReserve is the memory reserved for adapters at each engine.
 	adapterReserve float64
@@ -51,8 +53,8 @@
 		}
 	}
 	p.preloadModels()
-	for _, d := range unplaced {
-		p.unloadIdleAdapter(d)
+	for _, ref := range unplaced {
+		p.unloadIdleAdapter(ref)
 	}
 	p.preloadAdapters()
 	return p.actions, p.blocked
--- a/internal/loading/plan_test.go
+++ b/internal/loading/plan_test.go
@@ -74,7 +74,7 @@
 	for i := range 8 {
 		withAdapters.Loaded[0].Adapters[fmt.Sprint("a", i)] = now.Add(time.Duration(i) * time.Second)
 	}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		in   loading.Input
 		want []loading.Action
 	}{
@@ -215,8 +215,8 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, _ := loading.Decide(x.in)
-			require.Equal(t, x.want, got)
+			got, _ := loading.Decide(test.in)
+			require.Equal(t, test.want, got)
 		})
 	}
 }
--- a/internal/loading/replicas.go
+++ b/internal/loading/replicas.go
@@ -10,10 +10,10 @@
 	// minDelaySaved is the queueing delay per second of wall time, summed over a model's
 	// requests, that one more replica must save. Each request is delayed by those that arrive
 	// at its engine while their prompts are read: with r requests per second on n replicas
-	// another one saves r*r/(n*(n+1)) such pairs, each of the prefill time. With a prefill time
-	// of 200 ms a busy model gets a replica for each two requests per second, and one with less
-	// than 2.8 per second keeps its only one; with 10 ms one engine is enough for 12 per
-	// second, as room for another model serves more requests then.
+	// another one saves r*r/(n*(n+1)) pairs of such requests, and one prefill time for each
+	// pair. With a prefill time of 200 ms a busy model gets a replica for each two requests per
+	// second, and one with less than 2.8 per second keeps its only one; with 10 ms one engine
+	// is enough for 12 per second, as room for another model serves more requests then.
 	minDelaySaved = 800 * time.Millisecond
 	// defaultPrefillTime is assumed before any prefill was timed. It is long, so that there are
 	// too many replicas rather than too few.
--- a/internal/loading/restore.go
+++ b/internal/loading/restore.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// knowsEngine reports whether an engine has announced itself; rounds query it for a report
-// then.
+// knowsEngine reports whether an engine has announced itself. If so, the rounds query it for a
+// report.
 func (d *Driver) knowsEngine(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/loading/room.go
+++ b/internal/loading/room.go
@@ -10,8 +10,8 @@
 	// minResidency is how long a model stays after its load: demand for two models could
 	// otherwise evict each from the same engine in turns, and neither would be served.
 	minResidency = 2 * time.Second
-	// recentRequestGuard keeps a model with a recent request: a request that its entry has not
-	// reported yet may be on its way to the engine.
+	// recentRequestGuard is how long a model stays after its last reported request: another one
+	// that its entry has not reported yet may be on its way to the engine.
 	recentRequestGuard = 400 * time.Millisecond
 )
 
--- a/internal/loading/sender.go
+++ b/internal/loading/sender.go
@@ -109,9 +109,9 @@
 	return nil
 }
 
-// confirmTerm returns the term confirmed within confirmationMaxAge, or waits for a query in
-// progress. A host that was cut off or frozen meanwhile thus learns before it sends that
-// another host is the engine's order holder.
+// confirmTerm returns the term confirmed within confirmationMaxAge, or else the result of a query
+// in progress or a new one. A host that was cut off or frozen meanwhile thus learns before it
+// sends an order that another host is the engine's order holder.
 func (s *Sender) confirmTerm(ctx context.Context) (uint64, error) {
 	s.mu.Lock()
 	now := s.cfg.Now()
@@ -134,8 +134,8 @@
 	}
 }
 
-// runQuery answers one query for all orders that wait for it: a burst of orders queries the
-// leader once, as it has the most work just then.
+// runQuery runs one query for all orders that wait for its result: a burst of orders queries the
+// leader once, as the leader has the most work just then.
 func (s *Sender) runQuery(q *termQuery) {
 	defer close(q.done)
 	ctx, cancel := context.WithTimeout(context.Background(), confirmationTimeout)
--- a/internal/loading/sender_test.go
+++ b/internal/loading/sender_test.go
@@ -14,12 +14,12 @@
 	"fennelyard/internal/loading"
 )
 
-// A new leader of a large fleet has dozens of orders to send, and each order holder queried it
-// once per order for who leads. It had no time to answer them all, the orders were not sent,
-// and were repeated: for fifteen seconds hardly one was sent. A burst of orders must query
+// A new leader of a large fleet has dozens of orders to send, and each order holder queries it
+// once per order to confirm its term. It has no time to reply to them all, and the orders are
+// not sent but repeated: for fifteen seconds hardly one is sent. A burst of orders must query
 // once, and wait for the reply of a busy leader.
 func TestBurstOfOrdersQueriesLeaderOnce(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		delay time.Duration
 		fails bool
 		sent  int
@@ -41,9 +41,9 @@
 						select {
 						case <-ctx.Done():
 							return 0, ctx.Err()
-						case <-time.After(x.delay):
+						case <-time.After(test.delay):
 						}
-						if x.fails {
+						if test.fails {
 							return 0, errors.New("not the leader")
 						}
 						return 7, nil
@@ -63,11 +63,11 @@
 						time.Sleep(time.Duration(i%3) * time.Microsecond)
 						server := string(rune('a' + i))
 						_, err := s.Send(t.Context(), 7, "a:1", loading.Order{Server: server, FencingToken: uint64(i + 1)})
-						require.Equal(t, x.sent == 0, errors.Is(err, loading.ErrNotSent))
+						require.Equal(t, test.sent == 0, errors.Is(err, loading.ErrNotSent))
 					})
 				}
 				wg.Wait()
-				require.Equal(t, x.sent, sent)
+				require.Equal(t, test.sent, sent)
 				require.Equal(t, 1, queries)
 			})
 		})
--- a/internal/loading/sending.go
+++ b/internal/loading/sending.go
@@ -16,7 +16,7 @@
 	if e == nil || e.phase != phaseKnown {
 		return
 	}
-	e.order, e.orderedAt, e.tries = a, now, 0
+	e.order, e.orderedAt, e.attempts = a, now, 0
 	if a.FromStore {
 		e.storeConcurrency = d.storeLoadsRunning(e.pool) + 1
 	}
@@ -28,7 +28,7 @@
 // sendOrder sends the order in progress, for the first time or again.
 func (d *Driver) sendOrder(e *engine, now time.Time) {
 	e.phase = phaseSending
-	e.tries++
+	e.attempts++
 	d.orderCount++
 	o := Order{
 		Server: e.id, Load: e.order.Load, Model: e.order.Model, Adapter: e.order.Adapter, OrdersTaken: e.ordersTaken,
@@ -51,10 +51,10 @@
 }
 
 // retryDelayAfter returns the delay before an order without a reply is sent again after a
-// number of tries.
-func retryDelayAfter(tries int) time.Duration {
-	doublings := max(tries-triesBeforeBackoff+triesPerDoubling-1, 0) / triesPerDoubling
-	return min(retryDelay<<min(doublings, triesBeforeBackoff), maxRetryDelay)
+// number of attempts.
+func retryDelayAfter(attempts int) time.Duration {
+	doublings := max(attempts-attemptsBeforeBackoff+attemptsPerDoubling-1, 0) / attemptsPerDoubling
+	return min(retryDelay<<min(doublings, attemptsBeforeBackoff), maxRetryDelay)
 }
 
 // orderCountBits is the number of low bits of a fencing token that count a leader's orders. The
@@ -92,11 +92,11 @@
 		d.retainLateLoads(e, now)
 		d.removeEngine(e)
 	case OutcomeUnknown:
-		e.notBefore = now.Add(retryDelayAfter(e.tries))
+		e.notBefore = now.Add(retryDelayAfter(e.attempts))
 		e.phase = phaseUnconfirmed
 		if !errors.Is(err, ErrNotSent) {
 			e.recordUnconfirmed(now)
-		} else if e.tries == 1 {
+		} else if e.attempts == 1 {
 			e.phase = phaseKnown
 		}
 	}
