--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -111,7 +111,8 @@
 func (p *planner) tier(a *accelerator, target string) Tier { return a.server.Cached[target] }
 
 // needs returns the targets that need a replica, in the order in which they are placed: by
-// priority, then by earliest deadline, pinned targets and preloads last.
+// priority, then by earliest deadline. Pinned targets and preloads come last: they have no
+// priority, and a deadline in an hour.
 func (p *planner) needs() []need {
 	byName := map[string]need{}
 	for _, target := range slices.Sorted(maps.Keys(p.in.Demands)) {
@@ -333,7 +334,7 @@
 func (p *planner) cheapest(n need) (*accelerator, time.Time) {
 	var best *accelerator
 	var ready time.Time
-	price := 0.0
+	bestCost := 0.0
 	occupied := p.dataCentres(n.model.Name)
 	for _, a := range p.accelerators {
 		if !p.fits(a, n.model) {
@@ -347,8 +348,8 @@
 		// Between equals the fuller accelerator wins, which leaves the large gaps for large
 		// models.
 		cost += float64(a.totalMiB-a.usedMiB) / float64(a.totalMiB+1) * 0.01
-		if best == nil || cost < price {
-			best, price, ready = a, cost, p.in.Now.Add(took)
+		if best == nil || cost < bestCost {
+			best, bestCost, ready = a, cost, p.in.Now.Add(took)
 			if a.totalMiB-a.usedMiB < n.model.MemoryMiB {
 				ready = ready.Add(unloadTime)
 			}
--- a/internal/placement/idle.go
+++ b/internal/placement/idle.go
@@ -34,7 +34,8 @@
 	return d.Waiting + d.ExpectedRetries
 }
 
-// evictionCost returns the value, in seconds, of the replicas to unload to make room.
+// evictionCost returns the cost, in seconds, of making room: the time of an unload and the value
+// of the replicas to unload; 0 if there is room.
 func (p *planner) evictionCost(a *accelerator, mib uint64) float64 {
 	free := a.totalMiB - a.usedMiB
 	if free >= mib {
@@ -114,8 +115,8 @@
 	})
 }
 
-// unloadIdle unloads replicas that are not worth their price or not configured as they are, at
-// most one on each accelerator.
+// unloadIdle unloads the replicas for which unloadReason returns a reason, at most one on each
+// accelerator.
 func (p *planner) unloadIdle() {
 	for _, a := range p.accelerators {
 		if a.busy || a.unloading {
@@ -172,8 +173,8 @@
 	return b
 }
 
-// isWorthHolding reports whether an idle replica is worth its price. A replica that shares its
-// accelerator holds only its share of it idle.
+// isWorthHolding reports whether an idle replica is worth its price. Of an accelerator that it
+// shares with others, a replica holds only its share of the memory idle.
 func (p *planner) isWorthHolding(a *accelerator, r *Replica, m Model, idle time.Duration) bool {
 	if p.in.IdleTimeout != nil {
 		return idle < p.in.IdleTimeout(*r)
--- a/internal/placement/input.go
+++ b/internal/placement/input.go
@@ -74,8 +74,8 @@
 // Demand is the demand for a target.
 type Demand struct {
 	Waiting int
-	// ExpectedRetries is the number of requests that were refused with a retry time, when a
-	// replica is expected to be ready.
+	// ExpectedRetries is the number of requests that were refused and are expected to be retried
+	// when a replica is expected to be ready.
 	ExpectedRetries int
 	// EarliestDeadline is the earliest deadline among the waiting requests; zero: none.
 	EarliestDeadline time.Time
--- a/internal/placement/pattern.go
+++ b/internal/placement/pattern.go
@@ -9,8 +9,9 @@
 const (
 	// Gaps between arrivals are counted in classes of powers of two seconds.
 	gapClasses = 24
-	// decay ages old gaps, so that the pattern follows seasonal changes.
-	decay = 0.98
+	// gapDecay is the factor by which each new gap reduces the weight of the older ones, so that
+	// the pattern follows seasonal changes.
+	gapDecay = 0.98
 	// priorWeight is the weight of the prior, in gaps.
 	priorWeight = 2.0
 	// visitGap separates two visits: closer arrivals belong to one burst.
@@ -29,13 +30,13 @@
 	// horizon is how far ahead the gain of holding a replica is computed.
 	horizon = 24 * time.Hour
 	// firstStep is the step at the beginning of the horizon; steps grow with it.
-	firstStep = 15 * time.Second
-	workDays  = 5.0
+	firstStep       = 15 * time.Second
+	workDaysPerWeek = 5.0
 )
 
 // ArrivalPattern is the arrival statistics of one target. It is not safe for concurrent use.
 type ArrivalPattern struct {
-	// gaps counts the gaps from 2^i to 2^(i+1) seconds, aged by decay.
+	// gaps is the number of gaps from 2^i to 2^(i+1) seconds, weighted with gapDecay.
 	gaps [gapClasses]float32
 	// visits counts the visits by kind of day and time of day.
 	visits        [dayKinds][binsPerDay]float32
@@ -64,7 +65,7 @@
 		return
 	}
 	for i := range p.gaps {
-		p.gaps[i] *= decay
+		p.gaps[i] *= gapDecay
 	}
 	p.gaps[classOf(gap)]++
 }
@@ -81,7 +82,8 @@
 	daysPerWeek  = 7
 )
 
-// binOf computes the bin from Unix seconds: it is called many times in a decision.
+// binOf returns the kind of day and the time of day as indices of visits. It computes them from
+// Unix seconds rather than a calendar date, as it is called many times in a decision.
 func binOf(at time.Time) (kind, bin int) {
 	seconds := at.Unix()
 	switch (seconds/secondsPerDay + firstWeekday) % daysPerWeek {
@@ -97,9 +99,9 @@
 	observedHours := max(now.Sub(p.observedSince).Hours(), 1)
 	mean := float64(p.totalVisits) / observedHours
 	kind, bin := binOf(at)
-	days := workDays
+	days := workDaysPerWeek
 	if kind == 1 {
-		days = daysPerWeek - workDays
+		days = daysPerWeek - workDaysPerWeek
 	}
 	observed := observedHours / (daysPerWeek * 24) * days * binWidth.Hours()
 	return (float64(p.visits[kind][bin]) + mean*priorHours) / (observed + priorHours)
@@ -114,12 +116,12 @@
 	}
 	const prior = priorWeight / gapClasses
 	class := classOf(idle)
-	later := prior * float64(gapClasses-class)
+	laterGaps := prior * float64(gapClasses-class)
 	for _, g := range p.gaps[class:] {
-		later += float64(g)
+		laterGaps += float64(g)
 	}
 	width := float64(int64(1)<<class) / time.Hour.Seconds()
-	return max(rate, (float64(p.gaps[class])+prior)/later/width)
+	return max(rate, (float64(p.gaps[class])+prior)/laterGaps/width)
 }
 
 // HoldGain returns the highest expected gain of holding a replica from now on for some time,
