--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -47,21 +47,21 @@
 
 // SendOrder sends an order and waits for the engine's final reply. After an error the
 // order may still be in progress, and must be sent again with the same fencing token.
-// The order is written only within sendTimeout of the call: a leader whose process was
-// suspended in the meantime has been deposed, and the engine may be another
-// incarnation, which ignores fencing tokens.
+// The order is written only within sendTimeout of the call: a leader that was frozen for
+// longer has been deposed when it resumes, and the engine may be another incarnation
+// that ignores fencing tokens.
 func (c *Client) SendOrder(ctx context.Context, address string, o *schema.Order) (*schema.OrderReply, error) {
 	body, err := protojson.Marshal(o)
 	if err != nil {
 		return nil, errors.Newf("encode order: %w", err)
 	}
 	ctx = context.WithValue(ctx, sendDeadlineKey{}, time.Now().Add(sendTimeout))
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+OrdersPath, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+OrdersPath, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Newf("create order request: %w", err)
 	}
-	q.Header.Set("Content-Type", "application/json")
-	resp, err := c.http.Do(q)
+	req.Header.Set("Content-Type", "application/json")
+	resp, err := c.http.Do(req)
 	if err != nil {
 		return nil, errors.Newf("send order %d: %w", o.GetFencing(), err)
 	}
--- a/internal/order/driver.go
+++ b/internal/order/driver.go
@@ -24,8 +24,8 @@
 	// otherwise cost a decision over the whole region.
 	idleRoundInterval = time.Second
 	minRoundGap       = 20 * time.Millisecond
-	// Loads ahead of demand are considered for every target with an arrival
-	// pattern once per preloadInterval, at most preloadTargetsPerRound in a round.
+	// Preloads are considered for every target with an arrival pattern once per
+	// preloadInterval, at most preloadTargetsPerRound in a round.
 	preloadInterval        = time.Minute
 	preloadTargetsPerRound = 200
 	// commitTimeout bounds the commit of one command and the confirmation of the
@@ -117,8 +117,8 @@
 	// forecasts holds the last round's forecasts by target.
 	forecasts map[string]placement.Forecast
 	speeds    *placement.SpeedEstimator
-	// preloadQueue lists the targets still to be considered for loads ahead of
-	// demand; preloadQueued is when it was last filled.
+	// preloadQueue lists the targets still to be considered for preloads;
+	// preloadQueued is when it was last filled.
 	preloadQueue  []string
 	preloadQueued time.Time
 	// dirty is set when requests wait or state has changed since lastRound.
@@ -250,9 +250,8 @@
 	d.unloadMissing(now)
 }
 
-// nextPreloadCandidates returns the next targets to be considered for loads ahead
-// of demand. It covers all targets with an arrival pattern within preloadInterval
-// or slightly more.
+// nextPreloadCandidates returns the next targets to be considered for preloads. It
+// covers all targets with an arrival pattern within preloadInterval or slightly more.
 func (d *Driver) nextPreloadCandidates(now time.Time) []string {
 	if len(d.preloadQueue) == 0 {
 		if now.Sub(d.preloadQueued) < preloadInterval {
@@ -279,7 +278,7 @@
 // onlyLoads drops unload decisions: a new leader does not know yet which replicas
 // the entries' callers use.
 func onlyLoads(all []placement.Decision) []placement.Decision {
-	return slices.DeleteFunc(all, func(x placement.Decision) bool { return x.Kind != placement.KindLoad })
+	return slices.DeleteFunc(all, func(decision placement.Decision) bool { return decision.Kind != placement.KindLoad })
 }
 
 // addPendingReservations adds a loading replica for each pending reserve command.
--- a/internal/order/driver_test.go
+++ b/internal/order/driver_test.go
@@ -56,7 +56,7 @@
 	stats   clusterStats
 }
 
-type clusterStats struct{ orders, lost, late, crashes, elections, loads, unloads int }
+type clusterStats struct{ orders, lost, late, ended, elections, loads, unloads int }
 
 type fakeEngine struct {
 	// executing holds a token while an order is executed: an engine executes one
@@ -164,9 +164,9 @@
 // its sender stops or times out, unless it is lost.
 func (c *cluster) sendOrder(ctx context.Context, address string, o *schema.Order) (*schema.OrderReply, error) {
 	var e *fakeEngine
-	for _, x := range c.engines {
-		if x.name == address {
-			e = x
+	for _, candidate := range c.engines {
+		if candidate.name == address {
+			e = candidate
 		}
 	}
 	c.mu.Lock()
@@ -294,7 +294,7 @@
 
 // report sends an entry's current report to the leader.
 func (c *cluster) report() {
-	q := &schema.Report{Entry: "entry"}
+	report := &schema.Report{Entry: "entry"}
 	c.mu.Lock()
 	for _, e := range c.engines {
 		e.sequence++
@@ -305,11 +305,11 @@
 			Name: e.name, Incarnation: e.incarnation, Kind: schema.ServerKind_SERVER_KIND_ENGINE, Address: e.name,
 			DataCentre: "hall-a", AcceleratorMib: []uint64{acceleratorMiB}, ChecksFencing: e.checksFencing,
 		}}
-		q.Announcements = append(q.Announcements, a)
+		report.Announcements = append(report.Announcements, a)
 	}
 	for i := range targetCount {
 		if c.random.Intn(3) == 0 {
-			q.Demands = append(q.Demands, &schema.Demand{
+			report.Demands = append(report.Demands, &schema.Demand{
 				Target: fmt.Sprint("m", i), Waiting: uint32(c.random.Intn(4)), FirstDeadlineMs: 20000, Arrived: 1,
 			})
 		}
@@ -317,7 +317,7 @@
 	leader := c.leader
 	c.mu.Unlock()
 	if leader >= 0 {
-		c.drivers[leader].HandleReport(q)
+		c.drivers[leader].HandleReport(report)
 	}
 }
 
@@ -327,10 +327,10 @@
 	e := c.engines[c.random.Intn(engineCount)]
 	switch c.random.Intn(12) {
 	case 0:
-		// The process crashes, possibly while it executes an order.
+		// The engine's process ends, possibly while it executes an order.
 		e.down = true
 		e.loaded = map[string]uint64{}
-		c.stats.crashes++
+		c.stats.ended++
 	case 1, 2, 3:
 		if e.down {
 			e.down = false
@@ -379,7 +379,7 @@
 }
 
 // TestNoOvercommitUnderFaults runs a succession of leaders against engines that lose,
-// delay and fail orders, crash during a load and restart; half of them do not check
+// delay and fail orders, end during a load and restart; half of them do not check
 // fencing tokens. An order of a deposed leader may arrive up to ten seconds late. In
 // the engines themselves, no model ever has more replicas than its maximum and no
 // memory is overcommitted; after the last fault every order finishes.
@@ -406,7 +406,7 @@
 			total.orders += c.stats.orders
 			total.lost += c.stats.lost
 			total.late += c.stats.late
-			total.crashes += c.stats.crashes
+			total.ended += c.stats.ended
 			total.elections += c.stats.elections
 			total.loads += c.stats.loads
 			total.unloads += c.stats.unloads
@@ -450,7 +450,7 @@
 		})
 		c.drivers = []*order.Driver{d}
 		for i := range 30 {
-			q := &schema.Report{Entry: "entry", Announcements: []*schema.Announcement{{Sequence: uint64(i), Server: &schema.Server{
+			report := &schema.Report{Entry: "entry", Announcements: []*schema.Announcement{{Sequence: uint64(i), Server: &schema.Server{
 				Name: e.name, Incarnation: 1, Kind: schema.ServerKind_SERVER_KIND_ENGINE, Address: e.name,
 				DataCentre: "hall-a", AcceleratorMib: []uint64{acceleratorMiB},
 			}}}}
@@ -459,12 +459,12 @@
 			targets := []string{"m4"}
 			if i > 0 {
 				targets = []string{"m1", "m2"}
-				q.Demands = append(q.Demands, &schema.Demand{Target: "m4"})
+				report.Demands = append(report.Demands, &schema.Demand{Target: "m4"})
 			}
 			for _, target := range targets {
-				q.Demands = append(q.Demands, &schema.Demand{Target: target, Waiting: 1, FirstDeadlineMs: 20000, Arrived: 1})
+				report.Demands = append(report.Demands, &schema.Demand{Target: target, Waiting: 1, FirstDeadlineMs: 20000, Arrived: 1})
 			}
-			d.HandleReport(q)
+			d.HandleReport(report)
 			time.Sleep(time.Second)
 		}
 		c.mu.Lock()
--- a/internal/order/orders.go
+++ b/internal/order/orders.go
@@ -129,7 +129,7 @@
 }
 
 // sendOrder confirms the leadership directly before it sends the order. A leader that
-// is paused in between and resumes after it was deposed can still send the order;
+// is frozen in between and resumes after it was deposed can still send the order;
 // the reservation is committed by then, so the next leader accounts for it.
 func (d *Driver) sendOrder(ctx context.Context, s *schema.Server, res *schema.Reservation) (*schema.OrderReply, error) {
 	confirm, cancel := context.WithTimeout(ctx, commitTimeout)
@@ -168,13 +168,14 @@
 	return until.Sub(d.cfg.Now())
 }
 
-// isOnlyOrder reports whether the order in question is the only one that was ever sent
-// for the reservation.
+// isOnlyOrder reports whether the order that the engine replied to is the only one that
+// was ever sent for the reservation: reservations begin with their own number as the
+// fencing token.
 func (d *Driver) isOnlyOrder(res *schema.Reservation) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, unanswered := d.inFlightUntil[res.GetNumber()]
-	return res.GetFencing() == res.GetNumber() && !unanswered
+	_, inFlight := d.inFlightUntil[res.GetNumber()]
+	return res.GetFencing() == res.GetNumber() && !inFlight
 }
 
 func (d *Driver) newOrder(res *schema.Reservation) *schema.Order {
--- a/internal/order/reports.go
+++ b/internal/order/reports.go
@@ -113,9 +113,9 @@
 // needsForecast reports whether a target with waiting requests has no forecast of the
 // last round.
 func (d *Driver) needsForecast(demands []*schema.Demand) bool {
-	return slices.ContainsFunc(demands, func(x *schema.Demand) bool {
-		_, ok := d.forecasts[x.GetTarget()]
-		return x.GetWaiting() > 0 && !ok
+	return slices.ContainsFunc(demands, func(dm *schema.Demand) bool {
+		_, ok := d.forecasts[dm.GetTarget()]
+		return dm.GetWaiting() > 0 && !ok
 	})
 }
 
