--- a/internal/loading/driver.go
+++ b/internal/loading/driver.go
@@ -34,7 +34,7 @@
 	LeadershipProofMaxAge = 150 * time.Millisecond
 	// leaseMargin is added to the pause between the orders of two holders. The last order of the
 	// old holder arrives within the sum of LeadershipProofMaxAge, the longer of
-	// confirmationTimeout and confirmationMaxAge, as long as its confirmation was valid, and
+	// confirmationTimeout and confirmationMaxAge, for which its confirmation was valid, and
 	// orderTimeout, after which its connection is reset; the rest is for the network delay in
 	// between.
 	leaseMargin = LeadershipProofMaxAge + max(confirmationTimeout, confirmationMaxAge) + orderTimeout + 50*time.Millisecond
