--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -332,8 +332,8 @@
 			continue
 		}
 		for _, id := range c.ids {
-			x := c.nodes[id]
-			next := consensus.NextMembershipChange(n.core.Membership(), &schema.Member{Id: x.id, Host: x.host}, n.core)
+			other := c.nodes[id]
+			next := consensus.NextMembershipChange(n.core.Membership(), &schema.Member{Id: other.id, Host: other.host}, n.core)
 			if next != nil && n.core.ProposeMembership(next) == nil {
 				c.process(n, false)
 				break
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -39,11 +39,13 @@
 )
 
 const (
-	entryOverhead           = 32
+	// entryOverheadBytes is added to the data size of each entry for its other
+	// fields.
+	entryOverheadBytes      = 32
 	defaultElectionTicks    = 10
 	defaultHeartbeatTicks   = 1
 	defaultAppendBytes      = 512 << 10
-	defaultInflight         = 64
+	defaultInflightAppends  = 64
 	defaultUncommittedBytes = 16 << 20
 	// snapshotTimeoutElections is the number of election timeouts without
 	// progress after which a member that was sent a snapshot is probed again.
@@ -138,8 +140,8 @@
 	elapsed int
 	// lastLeaderTerm is the newest term whose leader was known to this member,
 	// and lastLeaderTicks counts the ticks since that leader was first known.
-	// leadershipUnstable is set if the leader before it was first known less than
-	// unstableElections election timeouts earlier.
+	// leadershipUnstable is set if the previous leader was first known less than
+	// unstableElections election timeouts before that leader.
 	lastLeaderTerm     uint64
 	lastLeaderTicks    int
 	leadershipUnstable bool
@@ -161,7 +163,7 @@
 	cfg.ElectionTicks = orDefault(cfg.ElectionTicks, defaultElectionTicks)
 	cfg.HeartbeatTicks = orDefault(cfg.HeartbeatTicks, defaultHeartbeatTicks)
 	cfg.AppendBytes = orDefault(cfg.AppendBytes, defaultAppendBytes)
-	cfg.Inflight = orDefault(cfg.Inflight, defaultInflight)
+	cfg.Inflight = orDefault(cfg.Inflight, defaultInflightAppends)
 	cfg.UncommittedBytes = orDefault(cfg.UncommittedBytes, defaultUncommittedBytes)
 	c := &Core{
 		cfg:       cfg,
--- a/internal/consensus/core_test.go
+++ b/internal/consensus/core_test.go
@@ -14,12 +14,12 @@
 )
 
 func newCore(id uint64, entries ...*schema.LogEntry) *consensus.Core {
-	first := &schema.Membership{Members: []*schema.Member{{Id: 1}, {Id: 2}, {Id: 3}}}
+	membership := &schema.Membership{Members: []*schema.Member{{Id: 1}, {Id: 2}, {Id: 3}}}
 	return consensus.NewCore(consensus.CoreConfig{
 		ID: id, Random: func(int) int { return 0 },
 		Saved: consensus.Saved{
 			HardState: &schema.HardState{Term: 1}, Entries: entries,
-			Snapshot: &schema.SnapshotState{Index: consensus.FirstIndex, Term: 1, Membership: first},
+			Snapshot: &schema.SnapshotState{Index: consensus.FirstIndex, Term: 1, Membership: membership},
 		},
 	})
 }
@@ -83,7 +83,7 @@
 		}
 		return ticks
 	}
-	for name, x := range map[string]struct {
+	for name, tt := range map[string]struct {
 		// firstTicks and secondTicks are the ticks for which the first and the
 		// second leader send.
 		firstTicks, secondTicks int
@@ -97,16 +97,16 @@
 		t.Run(name, func(t *testing.T) {
 			c := newCore(2)
 			receiveAppend(c, 1, 2)
-			for range x.firstTicks {
+			for range tt.firstTicks {
 				c.Tick()
 				receiveAppend(c, 1, 2)
 			}
 			receiveAppend(c, 3, 3)
-			for range x.secondTicks {
+			for range tt.secondTicks {
 				c.Tick()
 				receiveAppend(c, 3, 3)
 			}
-			assert.Equal(t, x.want, ticksToElection(c))
+			assert.Equal(t, tt.want, ticksToElection(c))
 			// Once the leader is lost, the timeout is no longer extended.
 			processReady(c)
 			ticks := 0
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -79,7 +79,7 @@
 	size := 0
 	for i := lo; i <= hi; i++ {
 		e := l.entries[i-l.offset-1]
-		size += len(e.GetData()) + entryOverhead
+		size += len(e.GetData()) + entryOverheadBytes
 		if len(out) > 0 && size > maxBytes {
 			break
 		}
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -49,7 +49,7 @@
 	Restore func(data []byte) error
 }
 
-// MemberConfig configures a Member. Storage, Machine, Send and Random are
+// MemberConfig configures a Member. Storage, StateMachine, Send and Random are
 // required.
 type MemberConfig struct {
 	Group        uint64
@@ -364,7 +364,7 @@
 		m.apply(r.Committed)
 		m.readyReads = append(m.readyReads, r.Reads...)
 		m.core.Advance(r)
-		m.answerReads()
+		m.serveReads()
 		if err := m.snapshot(); err != nil {
 			return err
 		}
@@ -403,16 +403,16 @@
 func (m *Member) fillSnapshot(msg *schema.ConsensusMessage) {
 	s, err := m.cfg.Storage.Snapshot()
 	if err != nil {
-		// The message is sent with the index and term set by the core, but without
-		// membership and data.
+		// The message keeps the index and term set by the core, but has no
+		// membership and no data.
 		return
 	}
 	msg.Snapshot = s
 }
 
-// memberByID returns the member with an id. For a member that is not in the
-// current membership it returns a member with the id alone: replies must reach a
-// leader that this member does not know from its log yet.
+// memberByID returns the member with an id, or a member with the id only if the
+// current membership does not contain it: the leader may have been added by an entry
+// that this member does not have yet, and replies must reach it all the same.
 func (m *Member) memberByID(id uint64) *schema.Member {
 	for _, member := range m.core.Membership().GetMembers() {
 		if member.GetId() == id {
@@ -444,7 +444,7 @@
 	}
 }
 
-func (m *Member) answerReads() {
+func (m *Member) serveReads() {
 	remaining := m.readyReads[:0]
 	for _, r := range m.readyReads {
 		if r.Index > m.applied {
--- a/internal/consensus/member_test.go
+++ b/internal/consensus/member_test.go
@@ -17,15 +17,15 @@
 	"fennelyard/internal/schema"
 )
 
-// group is a group of members with real storages and a simulated network from
-// which a test can disconnect members.
+// group is a group of members with real storages and a simulated network in which a
+// test can partition members.
 type group struct {
-	t          testing.TB
-	membership *schema.Membership
-	mu         sync.Mutex
-	members    map[uint64]*groupMember
-	cut        map[uint64]bool
-	tick       time.Duration
+	t           testing.TB
+	membership  *schema.Membership
+	mu          sync.Mutex
+	members     map[uint64]*groupMember
+	partitioned map[uint64]bool
+	tick        time.Duration
 }
 
 type groupMember struct {
@@ -38,7 +38,7 @@
 }
 
 func newGroup(t testing.TB, size int, tick time.Duration) *group {
-	g := &group{t: t, membership: &schema.Membership{}, members: map[uint64]*groupMember{}, cut: map[uint64]bool{}, tick: tick}
+	g := &group{t: t, membership: &schema.Membership{}, members: map[uint64]*groupMember{}, partitioned: map[uint64]bool{}, tick: tick}
 	for i := range size {
 		g.membership.Members = append(g.membership.Members, &schema.Member{Id: uint64(i + 1), Host: fmt.Sprint("host-", i+1)})
 	}
@@ -51,7 +51,7 @@
 func (g *group) start(id uint64, folder string) {
 	s, err := consensus.OpenStorage(consensus.StorageConfig{Folder: folder, Group: 1, NewID: func() uint64 { return id }})
 	require.NoError(g.t, err)
-	if formed, err := s.Membership(); err == nil && formed == nil {
+	if stored, err := s.Membership(); err == nil && stored == nil {
 		require.NoError(g.t, s.Bootstrap(g.membership))
 	}
 	member := &groupMember{storage: s, folder: folder}
@@ -90,7 +90,7 @@
 
 func (g *group) send(from, to uint64, messages []*schema.ConsensusMessage) {
 	g.mu.Lock()
-	m, down := g.members[to], g.cut[from] || g.cut[to]
+	m, down := g.members[to], g.partitioned[from] || g.partitioned[to]
 	g.mu.Unlock()
 	if m == nil || down {
 		return
@@ -116,12 +116,12 @@
 	}
 }
 
-// leader waits for a connected leader that has committed an entry in its term.
+// leader waits for a leader that is not partitioned and has committed an entry in its term.
 func (g *group) leader() uint64 {
 	for {
 		g.mu.Lock()
 		for id, m := range g.members {
-			if m.Status().CommittedInTerm && !g.cut[id] {
+			if m.Status().CommittedInTerm && !g.partitioned[id] {
 				g.mu.Unlock()
 				return id
 			}
@@ -162,7 +162,7 @@
 		for g.members[stopped].appliedCount() < 1000 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		t.Logf("caught up after 1000 missed changes in %v of simulated time", time.Since(startedAt))
+		t.Logf("caught up after 1000 missed commands in %v of simulated time", time.Since(startedAt))
 		assert.Equal(t, 1000, g.members[stopped].appliedCount())
 	})
 }
@@ -206,7 +206,7 @@
 		old := g.leader()
 		require.NoError(t, g.propose(old, "before"))
 		g.mu.Lock()
-		g.cut[old] = true
+		g.partitioned[old] = true
 		g.mu.Unlock()
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
@@ -216,7 +216,7 @@
 		next := g.leader()
 		require.NoError(t, g.propose(next, "after"))
 		g.mu.Lock()
-		g.cut[old] = false
+		g.partitioned[old] = false
 		g.mu.Unlock()
 		for g.members[old].appliedCount() < g.members[next].appliedCount() {
 			time.Sleep(50 * time.Millisecond)
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -23,24 +23,24 @@
 
 // refreshProgress adds and removes progress to match the current membership.
 func (c *Core) refreshProgress() {
-	remaining := map[uint64]*progress{}
+	updated := map[uint64]*progress{}
 	for _, m := range c.Membership().GetMembers() {
 		p, ok := c.progress[m.GetId()]
 		if !ok {
 			p = &progress{next: c.log.last() + 1, active: true}
 		}
-		remaining[m.GetId()] = p
+		updated[m.GetId()] = p
 	}
-	if p, ok := remaining[c.cfg.ID]; ok {
+	if p, ok := updated[c.cfg.ID]; ok {
 		p.match, p.next = c.persisted, c.log.last()+1
 	}
-	c.progress = remaining
+	c.progress = updated
 }
 
 func (c *Core) appendEntry(kind schema.EntryKind, data []byte) uint64 {
 	e := &schema.LogEntry{Index: c.log.last() + 1, Term: c.term, Kind: kind, Data: data}
 	c.log.add(e)
-	c.uncommittedBytes += len(data) + entryOverhead
+	c.uncommittedBytes += len(data) + entryOverheadBytes
 	if kind == schema.EntryKind_ENTRY_KIND_MEMBERSHIP {
 		c.refreshProgress()
 	}
@@ -286,7 +286,7 @@
 func (c *Core) bytesAfter(index uint64) int {
 	n := 0
 	for i := index + 1; i <= c.log.last(); i++ {
-		n += len(c.log.entries[i-c.log.offset-1].GetData()) + entryOverhead
+		n += len(c.log.entries[i-c.log.offset-1].GetData()) + entryOverheadBytes
 	}
 	return n
 }
--- a/internal/consensus/safety_test.go
+++ b/internal/consensus/safety_test.go
@@ -10,7 +10,7 @@
 const stepsPerSchedule = 250
 
 // TestNothingAcknowledgedIsLost runs groups through random sequences of lost,
-// delayed, duplicated and reordered messages, one-way network cuts, freezes, crashes
+// delayed, duplicated and reordered messages, one-way partitions, freezes, crashes
 // during a sync, compaction and lost disks. It checks that there is one leader per
 // term and one log, that no acknowledged entry is lost, that no read returns an
 // index below an earlier acknowledgement, and that the group makes progress after
@@ -60,7 +60,7 @@
 	case action < 87:
 		c.cutLinks[[2]uint64{n.id, c.ids[c.random.Intn(len(c.ids))]}] = true
 	case action < 89:
-		c.cutOff(n)
+		c.partition(n)
 	case action < 93:
 		c.cutLinks = map[[2]uint64]bool{}
 	case action < 95:
@@ -79,13 +79,13 @@
 	}
 }
 
-func (c *cluster) withLeader(do func(*node)) {
+func (c *cluster) withLeader(run func(*node)) {
 	if n := c.leader(); n != nil {
-		do(n)
+		run(n)
 	}
 }
 
-func (c *cluster) cutOff(n *node) {
+func (c *cluster) partition(n *node) {
 	for _, id := range c.ids {
 		c.cutLinks[[2]uint64{n.id, id}] = true
 		c.cutLinks[[2]uint64{id, n.id}] = true
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -190,8 +190,8 @@
 }
 
 // Bootstrap stores the initial membership of a group.
-func (s *Storage) Bootstrap(first *schema.Membership) error {
-	return s.SaveSnapshot(&schema.SnapshotState{Index: FirstIndex, Term: firstTerm, Membership: first})
+func (s *Storage) Bootstrap(initial *schema.Membership) error {
+	return s.SaveSnapshot(&schema.SnapshotState{Index: FirstIndex, Term: firstTerm, Membership: initial})
 }
 
 // Load reads and verifies everything. It returns the snapshot without its data.
@@ -395,7 +395,7 @@
 	}
 	free, err := s.cfg.FreeBytes(s.cfg.Folder)
 	if err != nil {
-		return errors.Newf("ask for room: %w", err)
+		return errors.Newf("read free disk space: %w", err)
 	}
 	if free < s.cfg.Reserve {
 		return ErrDiskFull
--- a/internal/consensus/storage_test.go
+++ b/internal/consensus/storage_test.go
@@ -97,7 +97,7 @@
 		assert.True(t, equalSaved(want, got), "%s: state was lost without an error", description)
 	}
 	for size := 0; size < len(whole); size += 1024 {
-		try(fmt.Sprintf("cut to %d bytes", size), whole[:size])
+		try(fmt.Sprintf("truncated to %d bytes", size), whole[:size])
 	}
 	for at := 0; at < len(whole); at += 61 {
 		flipped := append([]byte(nil), whole...)
@@ -157,9 +157,9 @@
 	require.NoError(t, err)
 	defer func() { _ = s.Close() }()
 	assert.EqualValues(t, 8, s.ID())
-	formed, err := s.Membership()
+	stored, err := s.Membership()
 	require.NoError(t, err)
-	assert.Nil(t, formed)
+	assert.Nil(t, stored)
 }
 
 func TestTwoProcessesCannotShareAFolder(t *testing.T) {
