--- a/internal/control/form.go
+++ b/internal/control/form.go
@@ -76,8 +76,8 @@
 // waitFormed waits until the group is formed and starts the member. The first host
 // by name bootstraps the group, and only after every control host has replied that
 // it belongs to none: a host with a lost disk must not bootstrap a second group
-// while another one has the state. It returns false if the group is stopped or the
-// member fails to start.
+// beside the one that still has the state. It returns false if the group is stopped or
+// the member fails to start.
 func (g *Group) waitFormed() bool {
 	ticker := time.NewTicker(helloInterval)
 	defer ticker.Stop()
--- a/internal/control/form_test.go
+++ b/internal/control/form_test.go
@@ -13,7 +13,7 @@
 // Only the first seed bootstraps, and only while the whole deployment starts for the
 // first time.
 func TestWhichHostBootstrapsGroup(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, tt := range map[string]struct {
 		self      string
 		bootstrap bool
 		want      bool
@@ -24,7 +24,7 @@
 		"first seed with a lost disk":     {"10.0.0.1:7", false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, x.want, control.MayBootstrap(x.self, x.bootstrap, "10.0.0.2:7", "10.0.0.1:7", "10.0.0.3:7"))
+			require.Equal(t, tt.want, control.MayBootstrap(tt.self, tt.bootstrap, "10.0.0.2:7", "10.0.0.1:7", "10.0.0.3:7"))
 		})
 	}
 }
--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -236,7 +236,7 @@
 }
 
 // SetLeaderHandlers sets the handlers for calls that only a leader's order driver can
-// answer. It must be called before the first call of a peer.
+// serve. It must be called before the first call of a peer.
 func (g *Group) SetLeaderHandlers(report func(*schema.Report) *schema.ReportReply,
 	forecast func(*schema.Intent) []*schema.PlanLine, unconfirmed func() []uint64,
 ) {
@@ -349,7 +349,7 @@
 	}
 	reply, err := client.Read(ctx, &schema.ReadRequest{AgeMs: age.Milliseconds()})
 	if err != nil {
-		return 0, errors.Newf("ask leader: %w", err)
+		return 0, errors.Newf("query leader: %w", err)
 	}
 	if reply.GetNotLeader() {
 		return 0, consensus.ErrNotLeader
--- a/internal/control/linear_test.go
+++ b/internal/control/linear_test.go
@@ -26,7 +26,7 @@
 )
 
 // testGroup is a control group of three members with ledgers and real storages on a
-// simulated network that can lose messages and disconnect members.
+// simulated network that can lose messages and partition members.
 type testGroup struct {
 	t           *testing.T
 	mu          sync.Mutex
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -23,8 +23,11 @@
 	quit        chan struct{}
 	wg          sync.WaitGroup
 
-	mu        sync.Mutex
-	queues    map[string]chan *schema.ConsensusMessage
+	// The fields below are guarded by mu.
+	mu sync.Mutex
+	// queues are by address.
+	queues map[string]chan *schema.ConsensusMessage
+	// addresses are by member id.
 	addresses map[uint64]string
 	stopped   bool
 }
