--- a/internal/entry/capacity.go
+++ b/internal/entry/capacity.go
@@ -35,10 +35,10 @@
 			delete(f.byTarget, t)
 		}
 	}
-	for _, x := range all {
-		f.byTarget[x.GetTarget()] = forecast{
-			readyAt: now.Add(time.Duration(x.GetReadyInMs()) * time.Millisecond),
-			never:   x.GetReadyInMs() < 0, reason: x.GetReason(), receivedAt: now,
+	for _, received := range all {
+		f.byTarget[received.GetTarget()] = forecast{
+			readyAt: now.Add(time.Duration(received.GetReadyInMs()) * time.Millisecond),
+			never:   received.GetReadyInMs() < 0, reason: received.GetReason(), receivedAt: now,
 		}
 	}
 }
@@ -46,8 +46,8 @@
 func (f *forecasts) get(now time.Time, target string) (forecast, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	x, ok := f.byTarget[target]
-	return x, ok && now.Sub(x.receivedAt) <= forecastTTL
+	latest, ok := f.byTarget[target]
+	return latest, ok && now.Sub(latest.receivedAt) <= forecastTTL
 }
 
 // target is the model or service of a request, with the servers that can serve it
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -88,7 +88,8 @@
 	inFlight  atomic.Int64
 }
 
-// Readiness is the state in which an entry serves requests or not.
+// Readiness states whether an entry serves requests, and whether its configuration is
+// confirmed by a quorum.
 type Readiness int32
 
 //go:generate go tool stringer -type=Readiness -linecomment
@@ -230,7 +231,7 @@
 // InFlight returns the number of callers' requests in flight.
 func (e *Entry) InFlight() int { return int(e.inFlight.Load()) }
 
-// Done is closed when the entry has stopped.
+// Done returns a channel that is closed when the entry has stopped.
 func (e *Entry) Done() <-chan struct{} { return e.done }
 
 // Drain removes the entry from the directory, continues to serve while callers
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -95,7 +95,7 @@
 	return out
 }
 
-// requestReport has a report sent immediately.
+// requestReport triggers an immediate report to the leader.
 func (e *Entry) requestReport() {
 	select {
 	case e.reportDue <- struct{}{}:
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -125,12 +125,12 @@
 	}
 }
 
-func (e *Entry) writeClaimedResponse(c echo.Context, in *incomingRequest, a *schema.Answer) error {
-	e.cfg.Metrics.Request(in.kind, int(a.GetStatus()))
+func (e *Entry) writeClaimedResponse(c echo.Context, in *incomingRequest, response *schema.Answer) error {
+	e.cfg.Metrics.Request(in.kind, int(response.GetStatus()))
 	e.cfg.Metrics.FirstByte(in.kind, time.Since(in.received), false)
 	c.Response().Header().Set(routing.HeaderRequestID, in.id)
 	c.Response().Header().Set(routing.HeaderOutcome, refusal.Ran.String())
-	return c.Blob(int(a.GetStatus()), a.GetContentType(), a.GetBody())
+	return c.Blob(int(response.GetStatus()), response.GetContentType(), response.GetBody())
 }
 
 type claimedResult struct {
