--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -24,9 +24,9 @@
 	// retransmitFactor times log2 of the number of hosts is the number of times
 	// that a host sends each fact.
 	retransmitFactor = 3
-	// In one of deadProbePeriods periods a dead host is probed, so that partitioned
-	// hosts find each other again without operator action.
-	deadProbePeriods = 4
+	// In one of deadProbeIntervals probe intervals a dead host is probed, so that
+	// partitioned hosts find each other again without operator action.
+	deadProbeIntervals = 4
 
 	// Defaults of Config.
 	defaultProbeInterval    = 500 * time.Millisecond
@@ -86,13 +86,13 @@
 	self  *schema.HostFact
 	hosts map[string]*hostEntry
 	// order is the order in which other hosts are probed; next is an index into it.
-	order    []string
-	next     int
-	periods  int
-	lastTick time.Time
-	sequence uint64
-	pending  map[uint64]*pendingProbe
-	relays   map[uint64]relay
+	order     []string
+	next      int
+	intervals int
+	lastTick  time.Time
+	sequence  uint64
+	pending   map[uint64]*pendingProbe
+	relays    map[uint64]relay
 	// changedHosts lists the hosts whose facts are still sent to others. It is empty
 	// while nothing changes, so that the cost of a probe does not depend on the
 	// number of hosts.
@@ -189,7 +189,7 @@
 	}
 	first := l.lastTick.IsZero()
 	l.lastTick = now
-	l.periods++
+	l.intervals++
 	if first {
 		for _, h := range l.order {
 			out = append(out, l.probe(now, h))
@@ -204,9 +204,9 @@
 
 // nextTarget returns the next host to probe. It iterates over all hosts in an order
 // that is shuffled in each round, so that each host is probed within a bounded number
-// of periods.
+// of probe intervals.
 func (l *List) nextTarget() (string, bool) {
-	probeDead := l.periods%deadProbePeriods == 0
+	probeDead := l.intervals%deadProbeIntervals == 0
 	for range 2 * len(l.order) {
 		if l.next >= len(l.order) {
 			l.shuffle()
@@ -234,9 +234,9 @@
 }
 
 func (l *List) probe(now time.Time, target string) Datagram {
-	s := l.ping(target)
-	l.pending[s.Probe.GetSequence()] = &pendingProbe{target: target, sent: now}
-	return s
+	d := l.ping(target)
+	l.pending[d.Probe.GetSequence()] = &pendingProbe{target: target, sent: now}
+	return d
 }
 
 func (l *List) ping(target string) Datagram {
@@ -327,9 +327,9 @@
 		if _, known := l.hosts[p.GetTarget()]; !known {
 			return nil
 		}
-		s := l.ping(p.GetTarget())
-		l.relays[s.Probe.GetSequence()] = relay{p.GetFrom(), p.GetSequence(), now}
-		return []Datagram{s}
+		d := l.ping(p.GetTarget())
+		l.relays[d.Probe.GetSequence()] = relay{p.GetFrom(), p.GetSequence(), now}
+		return []Datagram{d}
 	case schema.ProbeKind_PROBE_KIND_ACK:
 		return l.handleAck(p)
 	default:
@@ -373,7 +373,8 @@
 		return
 	}
 	if f.GetIncarnation() == old.GetIncarnation() && f.GetState() == old.GetState() {
-		// The load of a host is updated directly and not retransmitted as a change.
+		// Only the load can differ. Every host sends its own load in each of its
+		// datagrams, so a new load is not retransmitted as a change.
 		e.fact = f
 	}
 }
--- a/internal/membership/service.go
+++ b/internal/membership/service.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxDatagram          = 8 << 10
+	maxDatagramBytes     = 8 << 10
 	ticksPerProbeTimeout = 4
 	inboxSize            = 256
 	stopAnnouncements    = 2
@@ -43,7 +43,7 @@
 	changed chan struct{}
 }
 
-// NewService starts to send and to answer probes. It takes ownership of the
+// NewService starts to send probes and to reply to them. It takes ownership of the
 // connection.
 func NewService(cfg ServiceConfig) *Service {
 	s := &Service{
@@ -80,7 +80,7 @@
 }
 
 func (s *Service) read(inbox chan<- *schema.Probe) {
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, _, err := s.cfg.Conn.ReadFrom(buf)
 		if err != nil {
@@ -119,7 +119,7 @@
 	}
 }
 
-// send sends a datagram. Errors are logged only: probing tolerates lost datagrams.
+// send sends a datagram. It returns no error: probing tolerates lost datagrams.
 func (s *Service) send(datagram Datagram) {
 	address, err := net.ResolveUDPAddr("udp", s.cfg.Addresses[datagram.To])
 	if err != nil {
