--- a/internal/host/harness_test.go
+++ b/internal/host/harness_test.go
@@ -70,7 +70,7 @@
 }
 
 // eventually waits until a condition holds and fails the test after testTimeout.
-func (h *harness) eventually(what string, condition func() bool) {
+func (h *harness) eventually(description string, condition func() bool) {
 	h.t.Helper()
 	limit := time.After(testTimeout)
 	ticker := time.NewTicker(5 * time.Millisecond)
@@ -78,7 +78,7 @@
 	for !condition() {
 		select {
 		case <-limit:
-			require.Fail(h.t, "condition not met: "+what)
+			require.Fail(h.t, "condition not met: "+description)
 		case <-ticker.C:
 		}
 	}
--- a/internal/host/heldback_test.go
+++ b/internal/host/heldback_test.go
@@ -16,9 +16,10 @@
 )
 
 // TestCrashingBookingIsHeldBack tests a booking that crashes every application server
-// that runs it, and that its caller repeats with a new key each time. After three
-// servers it must be refused as not run, with Retry-After, and reach no further server,
-// also after a restart of this host. Other bookings are served at the same time.
+// that runs it. Its caller sends it repeatedly, with a new key each time. After three
+// servers have ended it must be refused as not run, with Retry-After, and reach no
+// further server, also after a restart of this host. Other bookings are served at the
+// same time.
 func TestCrashingBookingIsHeldBack(t *testing.T) {
 	const (
 		crashing = `{"seat":"harmful"}`
@@ -38,13 +39,13 @@
 			h.awaitServers(servers)
 			h.configure(1)
 			sent := 0
-			book := func(body string) reply {
+			book := func(body string) response {
 				sent++
 				return h.book(method, body, fmt.Sprint("k", sent))
 			}
-			// The request that crashes the third server may have run, so that its own outcome
-			// is not not-run.
-			var got reply
+			// The request that crashes the third server may have run, so its own outcome is
+			// unknown.
+			var got response
 			for range servers {
 				if got = book(crashing); got.code == "held-back" && got.outcome == "not-run" {
 					break
@@ -83,7 +84,7 @@
 }
 
 // book sends one booking without the client's retries.
-func (h *harness) book(method, body, key string) reply {
+func (h *harness) book(method, body, key string) response {
 	h.t.Helper()
 	q, err := http.NewRequestWithContext(context.Background(), method, h.callerURL("/services/"+testService+"/book"), strings.NewReader(body))
 	require.NoError(h.t, err)
@@ -91,16 +92,16 @@
 	if method == http.MethodPost {
 		q.Header.Set("Idempotency-Key", key)
 	}
-	return h.do(q)
+	return h.send(q)
 }
 
-// do sends a request.
-func (h *harness) do(q *http.Request) reply {
+// send sends a request and returns its complete response.
+func (h *harness) send(q *http.Request) response {
 	h.t.Helper()
 	resp, err := http.DefaultClient.Do(q)
 	require.NoError(h.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
 	require.NoError(h.t, err)
-	return newReply(resp, data)
+	return newResponse(resp, data)
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -53,8 +53,8 @@
 	client     *control.Client
 	membership *membership.Service
 	entry      *entry.Entry
-	// loadSource is entry once it is started: the membership service reads the
-	// requests in flight already before that.
+	// loadSource is entry, or nil until it has started: the membership service
+	// starts earlier and reads the number of requests in flight from it.
 	loadSource    atomic.Pointer[entry.Entry]
 	metricsServer *http.Server
 	done          chan struct{}
@@ -114,9 +114,9 @@
 }
 
 func (l *listeners) close() {
-	for _, x := range []net.Listener{l.peer, l.caller, l.operator, l.backend} {
-		if x != nil {
-			_ = x.Close()
+	for _, listener := range []net.Listener{l.peer, l.caller, l.operator, l.backend} {
+		if listener != nil {
+			_ = listener.Close()
 		}
 	}
 	if l.probe != nil {
@@ -128,7 +128,7 @@
 func (h *Host) listen() (*listeners, error) {
 	l := &listeners{}
 	var err error
-	for _, x := range []struct {
+	for _, binding := range []struct {
 		listener *net.Listener
 		address  string
 	}{
@@ -137,7 +137,7 @@
 		{&l.operator, h.self.GetOperatorAddress()},
 		{&l.backend, h.self.GetBackendAddress()},
 	} {
-		if *x.listener, err = net.Listen("tcp", x.address); err != nil {
+		if *binding.listener, err = net.Listen("tcp", binding.address); err != nil {
 			l.close()
 			return nil, errors.Newf("listen: %w", err)
 		}
@@ -149,8 +149,8 @@
 	return l, nil
 }
 
-// startControl starts the control role, if this host has it by the settings, and
-// returns its request handlers.
+// startControl starts the control role if the settings assign it to this host, and
+// returns its handlers for calls of peers.
 func (h *Host) startControl() (peer.Handlers, error) {
 	if !h.self.GetControl() {
 		return peer.Handlers{}, nil
@@ -208,9 +208,9 @@
 func (h *Host) startMembership(probe net.PacketConn, incarnation uint64) {
 	var names []string
 	addresses := map[string]string{}
-	for _, x := range h.cfg.Settings.GetHosts() {
-		names = append(names, x.GetName())
-		addresses[x.GetName()] = x.GetPeerAddress()
+	for _, host := range h.cfg.Settings.GetHosts() {
+		names = append(names, host.GetName())
+		addresses[host.GetName()] = host.GetPeerAddress()
 	}
 	h.membership = membership.NewService(membership.ServiceConfig{
 		List: membership.NewList(membership.Config{
--- a/internal/host/path_test.go
+++ b/internal/host/path_test.go
@@ -20,7 +20,7 @@
 	"fennelyard/internal/standin"
 )
 
-type reply struct {
+type response struct {
 	status  int
 	header  http.Header
 	body    []byte
@@ -30,7 +30,7 @@
 }
 
 // post sends one request without the client's retries.
-func (h *harness) post(path, body string, header ...string) reply {
+func (h *harness) post(path, body string, header ...string) response {
 	h.t.Helper()
 	q, err := http.NewRequestWithContext(context.Background(), http.MethodPost, h.callerURL(path), strings.NewReader(body))
 	require.NoError(h.t, err)
@@ -38,12 +38,12 @@
 	for i := 0; i+1 < len(header); i += 2 {
 		q.Header.Set(header[i], header[i+1])
 	}
-	return h.do(q)
+	return h.send(q)
 }
 
-// newReply parses a complete response.
-func newReply(resp *http.Response, data []byte) reply {
-	out := reply{status: resp.StatusCode, header: resp.Header, body: data}
+// newResponse parses a complete response.
+func newResponse(resp *http.Response, data []byte) response {
+	out := response{status: resp.StatusCode, header: resp.Header, body: data}
 	var e struct {
 		Error struct {
 			Code, Outcome, Message string
@@ -315,29 +315,29 @@
 func TestOneLoadPerBurst(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t, "")
-	e := h.engine("engine-1", func(c *standin.EngineConfig) { c.LoadTime = 200 * time.Millisecond })
-	f := h.engine("engine-2", nil)
+	first := h.engine("engine-1", func(c *standin.EngineConfig) { c.LoadTime = 200 * time.Millisecond })
+	second := h.engine("engine-2", nil)
 	h.awaitServers(2)
 	h.configure(1)
 	h.burst(40)
-	assert.Equal(t, 1, e.Loads(testModel)+f.Loads(testModel))
-	assert.Zero(t, e.Overcommits()+f.Overcommits())
+	assert.Equal(t, 1, first.Loads(testModel)+second.Loads(testModel))
+	assert.Zero(t, first.Overcommits()+second.Overcommits())
 }
 
-// TestRefusalWithoutEngines tests that a request for a model that no engine can load is
-// refused well before its deadline, with a retry time.
+// TestRefusalWithoutEngines tests that a request for a model is refused well before its
+// deadline, with a retry time, if there is no engine that could load the model.
 func TestRefusalWithoutEngines(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t, "")
 	h.configure(1)
-	began := time.Now()
+	start := time.Now()
 	_, err := h.client().Complete(context.Background(), []byte(completion(testModel)))
 	var refused *fennelyard.Error
 	require.True(t, errors.As(err, &refused), "%v", err)
 	assert.Equal(t, "no-capacity", refused.Code())
 	assert.Equal(t, "not-run", refused.Outcome())
 	assert.Positive(t, refused.RetryAfter())
-	assert.Less(t, time.Since(began), testTimeout/2)
+	assert.Less(t, time.Since(start), testTimeout/2)
 }
 
 // TestLeavingServerGetsNoNewRequests tests that once a server has announced that it is
--- a/internal/host/scrape.go
+++ b/internal/host/scrape.go
@@ -34,7 +34,7 @@
 	})
 	h.metricsServer = &http.Server{Handler: mux, ReadHeaderTimeout: metricsHeaderTimeout}
 	go func() {
-		// Close ends it.
+		// Serve returns when Host.Close closes the server.
 		_ = h.metricsServer.Serve(l)
 	}()
 	return nil
--- a/internal/host/silence_test.go
+++ b/internal/host/silence_test.go
@@ -57,7 +57,7 @@
 	first := h.post("/services/regdesk/enter", "{}", "Idempotency-Key", "k")
 	require.Equal(t, 200, first.status)
 	h.restart()
-	var again reply
+	var again response
 	h.eventually("the stored response", func() bool {
 		again = h.post("/services/regdesk/enter", "{}", "Idempotency-Key", "k")
 		return again.status == 200
