--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -37,7 +37,7 @@
 	// responses.
 	drainMargin = time.Second
 	// quorumWait is how long a new entry waits for a quorum before it serves at
-	// the highest revision that its reachable peers have.
+	// the highest revision that it has received from a control host.
 	quorumWait            = 10 * time.Second
 	readinessPollInterval = 200 * time.Millisecond
 	sweepInterval         = time.Minute
@@ -102,7 +102,8 @@
 )
 
 // New starts an entry. Its listeners accept connections immediately; requests are
-// refused until the entry's configuration is known to be current.
+// refused until the entry's configuration is known to be current, or until no quorum
+// was reachable for quorumWait.
 func New(cfg Config) *Entry {
 	e := &Entry{
 		cfg: cfg, table: routing.NewTable(routing.PolicyWeighted, cfg.Random),
