--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -395,7 +395,7 @@
 	}
 	free, err := s.cfg.FreeBytes(s.cfg.Folder)
 	if err != nil {
-		return errors.Newf("read free disk space: %w", err)
+		return errors.Newf("ask for room: %w", err)
 	}
 	if free < s.cfg.Reserve {
 		return ErrDiskFull
--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -349,7 +349,7 @@
 	}
 	reply, err := client.Read(ctx, &schema.ReadRequest{AgeMs: age.Milliseconds()})
 	if err != nil {
-		return 0, errors.Newf("query leader: %w", err)
+		return 0, errors.Newf("ask leader: %w", err)
 	}
 	if reply.GetNotLeader() {
 		return 0, consensus.ErrNotLeader
