--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -236,7 +236,7 @@
 }
 
 // SetLeaderHandlers sets the handlers for calls that only a leader's order driver can
-// answer. It must be called before the first call of a peer.
+// serve. It must be called before the first call of a peer.
 func (g *Group) SetLeaderHandlers(report func(*schema.Report) *schema.ReportReply,
 	forecast func(*schema.Intent) []*schema.PlanLine, unconfirmed func() []uint64,
 ) {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -37,7 +37,7 @@
 	// responses.
 	drainMargin = time.Second
 	// quorumWait is how long a new entry waits for a quorum before it serves at
-	// the highest revision that its reachable peers have.
+	// the highest revision that it has received from a control host.
 	quorumWait            = 10 * time.Second
 	readinessPollInterval = 200 * time.Millisecond
 	sweepInterval         = time.Minute
@@ -88,7 +88,8 @@
 	inFlight  atomic.Int64
 }
 
-// Readiness is the state in which an entry serves requests or not.
+// Readiness states whether an entry serves requests, and whether its configuration is
+// confirmed by a quorum.
 type Readiness int32
 
 //go:generate go tool stringer -type=Readiness -linecomment
@@ -101,7 +102,8 @@
 )
 
 // New starts an entry. Its listeners accept connections immediately; requests are
-// refused until the entry's configuration is known to be current.
+// refused until the entry's configuration is known to be current, or until no quorum
+// was reachable for quorumWait.
 func New(cfg Config) *Entry {
 	e := &Entry{
 		cfg: cfg, table: routing.NewTable(routing.PolicyWeighted, cfg.Random),
@@ -230,7 +232,7 @@
 // InFlight returns the number of callers' requests in flight.
 func (e *Entry) InFlight() int { return int(e.inFlight.Load()) }
 
-// Done is closed when the entry has stopped.
+// Done returns a channel that is closed when the entry has stopped.
 func (e *Entry) Done() <-chan struct{} { return e.done }
 
 // Drain removes the entry from the directory, continues to serve while callers
