--- a/cmd/fennelyard/caller.go
+++ b/cmd/fennelyard/caller.go
@@ -78,11 +78,11 @@
 			if err != nil {
 				return err
 			}
-			answer, err := flags.client().Do(c.Context(), r)
+			response, err := flags.client().Do(c.Context(), r)
 			if err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(c.OutOrStdout(), "%s\n", answer.Body())
+			_, err = fmt.Fprintf(c.OutOrStdout(), "%s\n", response.Body())
 			return err
 		},
 	}
--- a/cmd/fennelyard/faults_test.go
+++ b/cmd/fennelyard/faults_test.go
@@ -70,12 +70,12 @@
 			clus := startFaultCluster(t, slowLoadFlag)
 			leader := clus.leader()
 			clus.useOperatorOtherThan(leader)
-			answered := make(chan error, 1)
+			completed := make(chan error, 1)
 			// The fourth host has no control role, so it is never the leader that is stopped.
-			go func() { answered <- clus.requestCompletion(clus.client(3)) }()
+			go func() { completed <- clus.requestCompletion(clus.client(3)) }()
 			clus.awaitLoading()
 			how.stop(clus, leader)
-			require.NoError(t, <-answered)
+			require.NoError(t, <-completed)
 			loaded, other := clus.replicaCounts()
 			assert.EqualValues(t, 1, loaded+other, "one replica was decided")
 			if how.name == "frozen" {
@@ -105,12 +105,12 @@
 	clus.startEngine("engine-1", slowLoadFlag)
 	clus.awaitServers(1)
 	clus.configure(1)
-	answered := make(chan error, 1)
-	go func() { answered <- clus.requestCompletion(clus.client()) }()
+	completed := make(chan error, 1)
+	go func() { completed <- clus.requestCompletion(clus.client()) }()
 	clus.awaitLoading()
 	clus.kill("engine-1")
 	clus.startEngine("engine-1")
-	require.NoError(t, <-answered)
+	require.NoError(t, <-completed)
 }
 
 // A control host loses its data folder. It restarts with a new identity, catches up as a
--- a/cmd/fennelyard/harmful.go
+++ b/cmd/fennelyard/harmful.go
@@ -108,8 +108,9 @@
 	var flags operatorFlags
 	c := &cobra.Command{
 		Use: "release KEY --address IP:PORT", Short: "Stop holding a request back",
-		Long: `release clears a request of the servers that ended under it, at every entry within
-a second. If servers end under it again, it is held back again after the third.`,
+		Long: `release marks the servers that ended under a request as cleared, at every entry
+within a second. If servers end under it again, it is held back again after the
+third server.`,
 		Example: "  fennelyard harmful release 0011223344556677889900112233445566778899aabbccdd --address 10.0.0.1:7002 --operator ann",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
--- a/cmd/fennelyard/harmful_test.go
+++ b/cmd/fennelyard/harmful_test.go
@@ -71,9 +71,9 @@
 	require.Empty(t, s.violations)
 }
 
-// checkHarmfulCommands lists, shows and releases the request that is held back, at any control
-// host. After the release each entry sends it to a server again. An invalid key and an unknown
-// key are reported as such.
+// checkHarmfulCommands lists, shows and releases the request that is held back, each at another
+// control host. After the release each entry sends it to a server again. The commands report an
+// invalid key and an unknown key as errors.
 func (s *soak) checkHarmfulCommands() {
 	address := func(i int) string { return fmt.Sprintf("%s:%d", s.controlIP(i), s.port+1) }
 	list := &schema.SuspectList{}
--- a/cmd/fennelyard/join_test.go
+++ b/cmd/fennelyard/join_test.go
@@ -18,7 +18,7 @@
 func TestHostWaitsForDiskSpace(t *testing.T) {
 	full := errors.Newf("open state: %w", syscall.ENOSPC)
 	other := errors.New("address in use")
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		// outcomes are the results of the starts in order; the last one repeats.
 		outcomes []error
 		stopped  bool
@@ -34,17 +34,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
-				if x.stopped {
+				if test.stopped {
 					cancel()
 				}
 				began, starts := time.Now(), 0
 				_, err := startHostWithDiskSpace(ctx, logr.Discard(), func() (hostRole, error) {
 					starts++
-					return nil, x.outcomes[min(starts, len(x.outcomes))-1]
+					return nil, test.outcomes[min(starts, len(test.outcomes))-1]
 				})
-				require.ErrorIs(t, err, x.want)
-				require.Equal(t, x.starts, starts)
-				require.Equal(t, x.duration, time.Since(began))
+				require.ErrorIs(t, err, test.want)
+				require.Equal(t, test.starts, starts)
+				require.Equal(t, test.duration, time.Since(began))
 			})
 		})
 	}
--- a/cmd/fennelyard/known_red_test.go
+++ b/cmd/fennelyard/known_red_test.go
@@ -18,9 +18,9 @@
 	return path
 }
 
-// writeModule writes a Go module and returns its folder. Its packages have two tests, one
-// test, and two tests on simulated time; the tests of failing fail. list is the content of
-// KNOWN-RED.txt.
+// writeModule writes a Go module and returns its folder. Package one has two tests, package
+// two has one, and package simulated has two on simulated time. The tests named in failing
+// fail. list is the content of KNOWN-RED.txt; if it is empty there is no such file.
 func writeModule(t *testing.T, list string, failing ...string) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -50,10 +50,10 @@
 	return folder
 }
 
-// The script ignores the failures of tests that KNOWN-RED.txt lists. If it ignored too many
-// it would hide a new failure; if it ignored too few a known failure would block every change.
+// The script tolerates the failures of tests that KNOWN-RED.txt lists. If it tolerated too
+// many it would hide a new failure; if too few, a known failure would block every change.
 func TestKnownFailuresAreTolerated(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		list    string
 		failing []string
 		passes  bool
@@ -87,10 +87,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := exec.Command(testScript(t))
-			c.Dir = writeModule(t, x.list, x.failing...)
+			c.Dir = writeModule(t, test.list, test.failing...)
 			out, err := c.CombinedOutput()
-			require.Equal(t, x.passes, err == nil, "%s", out)
-			require.Contains(t, string(out), x.output)
+			require.Equal(t, test.passes, err == nil, "%s", out)
+			require.Contains(t, string(out), test.output)
 		})
 	}
 }
--- a/cmd/fennelyard/policy.go
+++ b/cmd/fennelyard/policy.go
@@ -43,7 +43,7 @@
 	c.Flags().Int64SliceVar(&f.seeds, "seeds", []int64{101}, "seeds of the generated days; each takes some seconds")
 	c.Flags().IntVar(&f.days, "days", 7, "days to measure")
 	c.Flags().IntVar(&f.warmUp, "warm-up", 7, "days that are replayed before the measured ones")
-	c.Flags().StringVar(&f.arrivals, "arrivals", "", "CSV file of recorded arrivals: seconds,target")
+	c.Flags().StringVar(&f.arrivals, "arrivals", "", "CSV file (seconds,target) of recorded arrivals, which replace the generated ones")
 	c.Flags().StringVar(&f.plot, "plot", "", "write a plot of the trade-off to this .svg or .png file")
 	addOutputFlag(c, &f.output)
 	return c
@@ -80,6 +80,8 @@
 	return nil
 }
 
+// newScenarios returns a scenario for each seed. Recorded arrivals replace the generated
+// ones; the scenario then ends an hour after the last of them.
 func newScenarios(d replay.Deployment, f policyFlags) ([]replay.Scenario, error) {
 	var out []replay.Scenario
 	for _, seed := range f.seeds {
--- a/cmd/fennelyard/process_test.go
+++ b/cmd/fennelyard/process_test.go
@@ -69,20 +69,20 @@
 
 // syncBuffer is a bytes.Buffer that is safe for concurrent use.
 type syncBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu  sync.Mutex
+	buf bytes.Buffer
 }
 
-func (l *syncBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.Write(p)
+func (b *syncBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buf.Write(p)
 }
 
-func (l *syncBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.b.String()
+func (b *syncBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.buf.String()
 }
 
 func newCluster(t *testing.T, hosts, controls int) *cluster {
@@ -231,19 +231,19 @@
 }
 
 func (clus *cluster) requestCompletion(c *fennelyard.Client) error {
-	answer, err := c.Complete(clus.t.Context(), []byte(`{"model":"`+testModel+`"}`))
+	response, err := c.Complete(clus.t.Context(), []byte(`{"model":"`+testModel+`"}`))
 	if err != nil {
 		return err
 	}
-	if !bytes.Contains(answer.Body(), []byte(`"finish_reason":"stop"`)) {
-		return fmt.Errorf("incomplete response: %s", answer.Body())
+	if !bytes.Contains(response.Body(), []byte(`"finish_reason":"stop"`)) {
+		return fmt.Errorf("incomplete response: %s", response.Body())
 	}
 	return nil
 }
 
 // requestBooking sends a booking and returns how often the application ran it.
 func (clus *cluster) requestBooking(ctx context.Context, c *fennelyard.Client, key string) (runs int, err error) {
-	answer, err := c.Do(ctx, fennelyard.Request{
+	response, err := c.Do(ctx, fennelyard.Request{
 		Method: http.MethodPost, Path: "/services/" + testService + "/book", Body: []byte(`{}`), Key: key,
 	})
 	if err != nil {
@@ -252,7 +252,7 @@
 	var booked struct {
 		Runs int `json:"runs"`
 	}
-	return booked.Runs, json.Unmarshal(answer.Body(), &booked)
+	return booked.Runs, json.Unmarshal(response.Body(), &booked)
 }
 
 func (clus *cluster) leader() string {
@@ -274,8 +274,8 @@
 	require.NoError(clus.t, os.RemoveAll(clus.layout.DataFolder(host)))
 }
 
-// rejoined reports whether a host votes after the loss of its disk: it has found a
-// leader since its restart, by its log, and the leader lists it as a voter.
+// rejoined reports whether a host votes again after the loss of its disk: the log since
+// its restart shows that it found a leader, and the leader lists it as a voter.
 func (clus *cluster) rejoined(host string) bool {
 	for _, h := range clus.status().GetHosts() {
 		if h.GetName() == host {
@@ -285,10 +285,11 @@
 	return false
 }
 
-// useOperatorOtherThan selects the operator address of another host.
-func (clus *cluster) useOperatorOtherThan(not string) {
+// useOperatorOtherThan sends further operator requests to a host other than the excluded
+// one.
+func (clus *cluster) useOperatorOtherThan(excluded string) {
 	for _, h := range clus.layout.Hosts() {
-		if h.Name != not {
+		if h.Name != excluded {
 			clus.operatorClient = operator.NewClient(h.Operator)
 		}
 	}
--- a/cmd/fennelyard/proxy_test.go
+++ b/cmd/fennelyard/proxy_test.go
@@ -24,17 +24,19 @@
 	proxyDropsResponse
 	// proxyDropsRequest drops the request and never responds.
 	proxyDropsRequest
-	proxyFaults
+	proxyFaultCount
 )
 
 const (
-	// connectionsPerFault is the mean number of connections to one that draws a fault.
+	// connectionsPerFault is the mean number of connections to one for which a fault is drawn,
+	// which may be proxyForwards.
 	connectionsPerFault = 5
 	// maxProxyDelay is the maximum delay of a part of a response.
 	maxProxyDelay = 150 * time.Millisecond
 	// maxResponseFaultBytes is the maximum number of bytes of a server's response before a
-	// fault. It is such that the fault occurs in the header, in the body, or not at all.
-	// maxStreamFaultBytes is the same for the long-lived streams between hosts.
+	// fault. The number that is drawn decides whether the fault occurs in the header, in the
+	// body, or not at all. maxStreamFaultBytes is the same for the long-lived streams between
+	// hosts.
 	maxResponseFaultBytes = 400
 	maxStreamFaultBytes   = 20_000
 )
@@ -46,7 +48,7 @@
 const (
 	directionRequest direction = iota
 	directionResponse
-	directions
+	directionCount
 )
 
 // proxy forwards connections to a backend server or a control host and injects network
@@ -65,7 +67,7 @@
 	random *rand.Rand
 	// blockedUntil is the time until which a direction is blocked on all connections; data
 	// sent in the meantime is delayed. It is guarded by mu.
-	blockedUntil [directions]time.Time
+	blockedUntil [directionCount]time.Time
 }
 
 // block blocks a direction of all connections for a duration.
@@ -133,7 +135,7 @@
 	if p.faultsCtx.Err() != nil || p.random.IntN(connectionsPerFault) != 0 {
 		return proxyForwards, 0, 0
 	}
-	return proxyFault(p.random.IntN(int(proxyFaults))), p.random.Int64N(p.maxFaultBytes), rand.N(maxProxyDelay)
+	return proxyFault(p.random.IntN(int(proxyFaultCount))), p.random.Int64N(p.maxFaultBytes), rand.N(maxProxyDelay)
 }
 
 // serve forwards one connection.
--- a/cmd/fennelyard/soak_faults_test.go
+++ b/cmd/fennelyard/soak_faults_test.go
@@ -27,11 +27,11 @@
 	for s.ctx.Err() == nil {
 		name := names[r.IntN(len(names))]
 		unlock := s.lockHost(name)
-		faults := hostFaultsWithoutProxy
+		faultCount := unproxiedHostFaultCount
 		if s.proxies[name] != nil {
-			faults = hostFaults
+			faultCount = hostFaultCount
 		}
-		fault, pause := hostFault(r.IntN(int(faults))), time.Duration(100+r.IntN(1500))*time.Millisecond
+		fault, pause := hostFault(r.IntN(int(faultCount))), time.Duration(100+r.IntN(1500))*time.Millisecond
 		wg.Go(func() {
 			defer unlock()
 			s.injectFault(name, fault, pause)
@@ -51,12 +51,12 @@
 	faultFreeze
 	faultReload
 	// faultBlockRequests, faultBlockResponses and faultBlockBoth block the peer connections
-	// of a host in one direction, the other, or both. They need a proxy of the host.
+	// of a host in one direction, the other, or both. They need a proxy in front of the host.
 	faultBlockRequests
 	faultBlockResponses
 	faultBlockBoth
-	hostFaults
-	hostFaultsWithoutProxy = faultBlockRequests
+	hostFaultCount
+	unproxiedHostFaultCount = faultBlockRequests
 )
 
 // injectFault injects a fault into a host and recovers the host after a pause.
--- a/cmd/fennelyard/soak_test.go
+++ b/cmd/fennelyard/soak_test.go
@@ -89,9 +89,11 @@
 	// servedByModels counts those of them that were sent to models.
 	servedByModels int
 	// crashed counts the servers that crashed under the harmful request.
-	crashed             int
+	crashed int
+	// acknowledgedVersion is the newest version of the configuration that was acknowledged.
 	acknowledgedVersion uint64
-	violations          []string
+	// violations describe the guarantees that the system broke.
+	violations []string
 }
 
 func (s *soak) recordViolation(format string, args ...any) {
@@ -228,7 +230,8 @@
 	}
 }
 
-// call sends a request. It returns status 0 without a complete response.
+// call sends a request and returns the status and the body of the response, or status 0 if
+// the response is not complete.
 func (s *soak) call(method, url, body string, header http.Header, wait time.Duration) (int, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
@@ -383,15 +386,15 @@
 
 // Hosts are killed, stopped, frozen, restarted and partitioned in one direction or both, in
 // overlapping series, and one control host loses its disk. Meanwhile clients send requests, an
-// operator changes the configuration, servers and engines crash and restart with the same ids,
-// engines leave orders without a reply and execute some late, and one client repeats a request
-// that crashes servers.
+// operator changes the configuration, servers and engines announce themselves, crash and restart
+// with the same ids, engines leave orders without a reply and execute some late, and one client
+// repeats a request that crashes servers.
 //
 // No request that must run at most once runs twice, and none that was reported as not run ran.
 // Every successful response is complete and belongs to its request. No acknowledged
-// configuration is lost. No engine is ordered to load more than fits into its memory, or by two
-// alternating order holders. In the end the harmful request and no other is held back, and each
-// model is served.
+// configuration is lost. No engine is ordered to load more than its memory and adapter slots
+// allow, or by two alternating order holders. In the end the harmful request and no other is
+// held back, and each model is served.
 func TestSoak(t *testing.T) {
 	for _, seed := range regressionSeeds {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) { runSoak(t, seed, regressionEntries, false, 0) })
--- a/cmd/fennelyard/status.go
+++ b/cmd/fennelyard/status.go
@@ -57,9 +57,9 @@
 		}
 	})
 	writeTable(w, "\nSERVER\tKIND\tDATA CENTRE\tSTATE\tINCARNATION\tRESERVED MIB", func(t io.Writer) {
-		for _, x := range s.GetServers() {
-			_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d of %d\n", x.GetName(), x.GetKind(), x.GetDataCentre(),
-				x.GetState(), x.GetIncarnation(), x.GetReservedMib(), x.GetTotalMib())
+		for _, server := range s.GetServers() {
+			_, _ = fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%d\t%d of %d\n", server.GetName(), server.GetKind(), server.GetDataCentre(),
+				server.GetState(), server.GetIncarnation(), server.GetReservedMib(), server.GetTotalMib())
 		}
 	})
 	writeTable(w, "\nMODEL\tLOADED\tLOADING\tUNLOADING\tBOUNDS", func(t io.Writer) {
