--- a/client.go
+++ b/client.go
@@ -18,8 +18,8 @@
 	defaultDeadline  = 30 * time.Second
 	connectTimeout   = 2 * time.Second
 	maxResponseBytes = 16 << 20
-	// maxAttempts limits the attempts of one request, except while the deployment
-	// reports that it is still running.
+	// maxAttempts limits the attempts of one request. It does not apply while the
+	// deployment reports that the request is still running.
 	maxAttempts   = 4
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 5 * time.Second
@@ -37,7 +37,8 @@
 	DataCentre string
 	// Deadline is used for requests whose context has none; 0 means 30 seconds.
 	Deadline time.Duration
-	// HTTP sends the requests; nil means a new http.Client.
+	// HTTP sends the requests; nil means a new client that closes silent
+	// connections within seconds.
 	HTTP *http.Client
 	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
@@ -122,8 +123,9 @@
 
 // Do sends a request and returns the whole response. A request that is not
 // repeatable is retried only with its key, so that it runs at most once. Do
-// returns a *Error when the deployment refused the request and no retry can
-// succeed before the context's deadline.
+// returns a *Error when the deployment refused the request and the client does not
+// retry it: a retry cannot succeed, the attempts are used up, or the context's
+// deadline is earlier than the retry.
 func (c *Client) Do(ctx context.Context, r Request) (*Answer, error) {
 	if _, ok := ctx.Deadline(); !ok {
 		var cancel context.CancelFunc
@@ -141,9 +143,9 @@
 		if err != nil {
 			return nil, preferLast(err, lastErr)
 		}
-		answer, err := c.send(ctx, address, r, attempt)
+		response, err := c.send(ctx, address, r, attempt)
 		if err == nil {
-			return answer, nil
+			return response, nil
 		}
 		lastErr = err
 		delay, retry := c.retryDelay(ctx, r, err, attempt)
