--- a/examples/caller/main.go
+++ b/examples/caller/main.go
@@ -28,11 +28,11 @@
 	client := fennelyard.NewClient(fennelyard.ClientOptions{Addresses: addresses, Customer: "quillen-ridge"})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	answer, err := client.Complete(ctx, []byte(`{"model":"planner-small","messages":[]}`))
+	completion, err := client.Complete(ctx, []byte(`{"model":"planner-small","messages":[]}`))
 	if err != nil {
 		return fmt.Errorf("complete: %w", err)
 	}
-	fmt.Printf("%s\n", answer.Body())
+	fmt.Printf("%s\n", completion.Body())
 	// The key makes a retry of the booking safe.
 	booked, err := client.Do(ctx, fennelyard.Request{
 		Method: http.MethodPost, Path: "/services/booking-api/book", Body: []byte(`{"rider":7}`), Key: fennelyard.NewKey(),
