--- a/internal/replay/arrivals.go
+++ b/internal/replay/arrivals.go
@@ -63,7 +63,7 @@
 	// The shares of targets that are used in office hours, once a day, and at weekends. All
 	// other targets are used rarely.
 	officeShare, dailyShare, weekendShare float64
-	// skippedShare is the share of sessions that do not occur in an off-season.
+	// skippedShare is the share of sessions that are left out, as in an off-season.
 	skippedShare float64
 }
 
@@ -198,8 +198,8 @@
 	}
 }
 
-// generateSession returns the arrivals of a session: a simultaneous burst at several entries,
-// followed by a tail of single requests.
+// generateSession returns the arrivals of a session: a burst within two seconds, as if sent to
+// several entries at once, followed by a tail of single requests.
 func generateSession(random *rand.Rand, target string, start time.Duration) []Arrival {
 	var out []Arrival
 	for range 1 + random.Intn(6) {
--- a/internal/replay/sim.go
+++ b/internal/replay/sim.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// idleDecisionInterval is the time between decisions without any other event.
+	// idleDecisionInterval is the time between decisions without any other event. Only these
+	// decisions unload replicas for being idle.
 	idleDecisionInterval = 30 * time.Second
 	// serviceTime is the time for which a request occupies its replica.
 	serviceTime = 2 * time.Second
@@ -39,7 +40,8 @@
 	requests, refused, lateRequests, loads int
 	remoteMiB                              uint64
 	idleTime                               time.Duration
-	// forecastError is the distribution of the absolute errors of the forecast waits.
+	// forecastError is the distribution of the absolute errors of the forecast waits,
+	// including those in the warm-up.
 	forecastError *hdrhistogram.Histogram
 }
 
@@ -68,7 +70,7 @@
 // Visits returns the number of visits.
 func (r Result) Visits() int64 { return r.visits.TotalCount() }
 
-// LateShare returns the share of requests that waited for more than lateThreshold.
+// LateShare returns the share of requests that were served after more than lateThreshold.
 func (r Result) LateShare() float64 { return float64(r.lateRequests) / float64(max(r.requests, 1)) }
 
 // Refused returns the number of requests that were refused after waitTimeout.
@@ -97,14 +99,14 @@
 // completionHeap is a heap.Interface whose first element is the next completion.
 type completionHeap []completion
 
-func (f completionHeap) Len() int           { return len(f) }
-func (f completionHeap) Less(i, j int) bool { return f[i].at.Before(f[j].at) }
-func (f completionHeap) Swap(i, j int)      { f[i], f[j] = f[j], f[i] }
-func (f *completionHeap) Push(x any)        { *f = append(*f, x.(completion)) }
-func (f *completionHeap) Pop() any {
-	old := *f
+func (h completionHeap) Len() int           { return len(h) }
+func (h completionHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h completionHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *completionHeap) Push(x any)        { *h = append(*h, x.(completion)) }
+func (h *completionHeap) Pop() any {
+	old := *h
 	x := old[len(old)-1]
-	*f = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return x
 }
 
@@ -146,7 +148,7 @@
 	loadStarts map[uint64]time.Time
 	// lastPreload is the time at which preloads were last considered.
 	lastPreload time.Time
-	// lastReplica is the number of the replica that was loaded last.
+	// lastReplica is the number of the newest replica.
 	lastReplica uint64
 	random      *rand.Rand
 	result      Result
@@ -266,7 +268,7 @@
 			}
 		}
 		if server.Usable && !usable {
-			// The next incarnation of the server has no loaded models.
+			// The server's host was reclaimed. Its next incarnation has no loaded models.
 			server.Incarnation++
 			s.replicas = slices.DeleteFunc(s.replicas, func(r placement.Replica) bool { return r.Server == server.Name })
 		}
--- a/internal/replay/summary.go
+++ b/internal/replay/summary.go
@@ -21,12 +21,12 @@
 // AllPolicies returns the cost-based policy with each of idlePriceFactors, and the baselines.
 func AllPolicies() []Policy {
 	var out []Policy
-	for _, x := range idlePriceFactors {
-		name := fmt.Sprintf("%s x%g", costBasedName, x)
-		if x == 1 {
+	for _, factor := range idlePriceFactors {
+		name := fmt.Sprintf("%s x%g", costBasedName, factor)
+		if factor == 1 {
 			name = costBasedName
 		}
-		out = append(out, CostBased(name, x))
+		out = append(out, CostBased(name, factor))
 	}
 	return append(out, Baselines()...)
 }
