--- a/internal/measure/capacity.go
+++ b/internal/measure/capacity.go
@@ -117,7 +117,8 @@
 	return used, nil
 }
 
-// fullState returns the changes that an entry without any state receives, which exclude plans.
+// fullState returns the changes that an entry without any state receives: the whole ledger
+// except the plans.
 func fullState(size int) (*schema.Changes, error) {
 	l, err := newFilledLedger(size)
 	if err != nil {
@@ -285,9 +286,9 @@
 // processor time in microseconds, both per host and second.
 func simulateHeartbeats(hosts int) (bytesPerSecond, microsPerSecond float64, err error) {
 	const (
-		seconds    = 20
-		tick       = 50 * time.Millisecond
-		headerSize = 28
+		seconds     = 20
+		tick        = 50 * time.Millisecond
+		headerBytes = 28
 	)
 	random := rand.New(rand.NewSource(1))
 	names := make([]string, 0, hosts)
@@ -307,7 +308,7 @@
 			if err != nil {
 				return errors.Newf("encode probe: %w", err)
 			}
-			bytesSent += len(data) + headerSize
+			bytesSent += len(data) + headerBytes
 			p := &schema.Probe{}
 			if err := proto.Unmarshal(data, p); err != nil {
 				return errors.Newf("decode probe: %w", err)
@@ -367,18 +368,18 @@
 // unchangedReportBytes returns the size of a report in which the announcement of every server
 // is unchanged except for its sequence number.
 func unchangedReportBytes(servers int) (float64, error) {
-	h := backend.NewRegistry()
+	registry := backend.NewRegistry()
 	now := time.Unix(1_790_000_000, 0)
 	for i := range servers {
-		h.Record(announcement(i, 50), now)
+		registry.Record(announcement(i, 50), now)
 	}
-	h.MarkReported(h.Unreported(now))
+	registry.MarkReported(registry.Unreported(now))
 	for i := range servers {
 		a := announcement(i, 50)
 		a.Sequence = 2
-		h.Record(a, now)
+		registry.Record(a, now)
 	}
-	return float64(proto.Size(&schema.Report{Group: 1, Entry: "entry-a1", EntryIncarnation: 1790000000000000000, Announcements: h.Unreported(now)})), nil
+	return float64(proto.Size(&schema.Report{Group: 1, Entry: "entry-a1", EntryIncarnation: 1790000000000000000, Announcements: registry.Unreported(now)})), nil
 }
 
 func announcementBytes(cached int) (float64, error) {
--- a/internal/measure/routing.go
+++ b/internal/measure/routing.go
@@ -35,6 +35,8 @@
 	estimatedWork float64
 }
 
+// simulatedRequest is a request of the simulation. Its cost is the time in seconds for which
+// it occupies a server.
 type simulatedRequest struct {
 	size int
 	cost float64
@@ -62,6 +64,8 @@
 	return meanCost.Seconds()
 }
 
+// departure is the completion of a request at a server. departsAt is in seconds since the
+// start of the simulation and estimatedCost is in seconds.
 type departure struct {
 	departsAt     float64
 	entry         int
@@ -70,6 +74,7 @@
 	estimatedCost float64
 }
 
+// departureHeap is a heap.Interface whose first element is the next departure.
 type departureHeap []departure
 
 func (d departureHeap) Len() int           { return len(d) }
@@ -97,6 +102,7 @@
 			for i := range c {
 				candidates[i] = routing.Candidate{SameDataCentre: true, Outstanding: c[i].outstanding}
 			}
+			// No server has requestCount outstanding requests, so the limit never applies.
 			return routing.Choose(p, candidates, requestCount, turn, random.Intn)
 		}))
 	}
