--- a/internal/demo/layout.go
+++ b/internal/demo/layout.go
@@ -58,10 +58,10 @@
 // another process is unlikely to use. Otherwise, a deployment that starts at the same time
 // could take a port between the check that it is free and its use.
 func nextIP() string {
-	const lowest, spread, hostsPer = 16, 100, 254
+	const minSecondOctet, secondOctets, hostsPerProcess = 16, 100, 254
 	pid := os.Getpid()
 	n := usedIPs.Add(1) - 1
-	return fmt.Sprintf("127.%d.%d.%d", lowest+pid/256%spread, pid%256, 1+n%hostsPer)
+	return fmt.Sprintf("127.%d.%d.%d", minSecondOctet+pid/256%secondOctets, pid%256, 1+n%hostsPerProcess)
 }
 
 // FreeAddresses returns n addresses on an IP address that no process listens on.
@@ -97,10 +97,10 @@
 	return l.addresses(func(h HostLayout) string { return h.Backend })
 }
 
-func (l *Layout) addresses(of func(HostLayout) string) []string {
+func (l *Layout) addresses(address func(HostLayout) string) []string {
 	out := make([]string, len(l.hosts))
 	for i, h := range l.hosts {
-		out[i] = of(h)
+		out[i] = address(h)
 	}
 	return out
 }
