--- a/internal/settings/join.go
+++ b/internal/settings/join.go
@@ -74,14 +74,14 @@
 		checkAddress(d, "seeds["+strconv.Itoa(i)+"]", a, map[string]string{})
 	}
 	seen := map[string]string{}
-	for _, x := range []struct{ key, address string }{
+	for _, listener := range []struct{ key, address string }{
 		{"caller-address", s.GetCallerAddress()},
 		{"ready-address", s.GetReadyAddress()},
 		{"directory-address", s.GetDirectoryAddress()},
 		{"operator-address", s.GetOperatorAddress()},
 	} {
-		if x.address != "" {
-			checkAddress(d, x.key, x.address, seen)
+		if listener.address != "" {
+			checkAddress(d, listener.key, listener.address, seen)
 		}
 	}
 	if s.GetCallerAddress() == "" && s.GetOperatorAddress() == "" {
@@ -107,7 +107,7 @@
 	if s.GetPeerListenIp() == "" {
 		s.PeerListenIp = s.GetIp()
 	}
-	for _, x := range []struct {
+	for _, setting := range []struct {
 		value    **durationpb.Duration
 		fallback time.Duration
 	}{
@@ -119,14 +119,13 @@
 		{&s.LoadWindow, DefaultLoadWindow},
 		{&s.QuotaWindow, quota.DefaultWindow},
 	} {
-		*x.value = durationpb.New(durationOrDefault(*x.value, x.fallback))
+		*setting.value = durationpb.New(durationOrDefault(*setting.value, setting.fallback))
 	}
 	s.RepeatRatio = valueOrDefault(s.GetRepeatRatio(), DefaultRepeatRatio)
 	s.RepeatSlack = valueOrDefault(s.GetRepeatSlack(), DefaultRepeatSlack)
 }
 
-// PeerAddress returns the IP:PORT for connections between hosts of the host with an IP
-// address.
+// PeerAddress returns the peer address (IP:PORT) of the host with the given IP address.
 func PeerAddress(ip string, s *schema.JoinSettings) string {
 	return ip + ":" + strconv.Itoa(int(s.GetPeerPort()))
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -142,9 +142,9 @@
 	}
 }
 
-// checkAddress checks that an address is an IP address with a port, which no key in seen
-// has, and adds it to seen. Host names are rejected: a host must be reachable while name
-// resolution fails.
+// checkAddress checks that an address is IP:PORT and is not in seen, which maps the
+// addresses checked before to their keys, and adds it to seen. Host names are rejected:
+// a host must be reachable while name resolution fails.
 func checkAddress(d *document, path, address string, seen map[string]string) {
 	if address == "" {
 		d.addKeyFault(path, "missing", "write IP:PORT, for example 10.0.0.1:7000")
