--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -28,7 +28,7 @@
 	Entries        []string
 	AcceleratorMiB []uint64
 	// ChecksFencing makes the engine refuse orders for another incarnation or with an outdated
-	// fencing number.
+	// fencing token.
 	ChecksFencing bool
 	// WeightStore is the address of the weight store, from which checkpoints are fetched that
 	// are not cached. If it is empty they load at DiskMiBPerSecond.
@@ -65,7 +65,7 @@
 	// loaded maps the targets in accelerator memory to the orders that loaded them.
 	loaded map[string]loadedTarget
 	cached map[string]bool
-	// highestFencing is the highest fencing number received for each target.
+	// highestFencing is the highest fencing token received for each target.
 	highestFencing map[string]uint64
 	outstanding    int
 	requests       int
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -16,8 +16,8 @@
 const (
 	// networkDelay is the one-way latency.
 	networkDelay = time.Millisecond
-	// networkWindow is the number of bytes in flight in one direction of a connection from which
-	// the writer blocks.
+	// networkWindow is the number of unread bytes in one direction of a connection at which the
+	// writer blocks.
 	networkWindow = 256 << 10
 	// networkBacklog is the number of connections that may wait for Accept.
 	networkBacklog = 128
