--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -146,8 +146,8 @@
 		if l.Message == requestMessage {
 			continue
 		}
-		for _, q := range t.Requests {
-			if t.isRelated(l, q) {
+		for _, request := range t.Requests {
+			if t.isRelated(l, request) {
 				t.StateChanges = append(t.StateChanges, l)
 				break
 			}
@@ -161,24 +161,24 @@
 
 // isRelated reports whether a line is about something that the request depended on.
 // It sets Dropped if lines were dropped.
-func (t *Timeline) isRelated(l, q *Line) bool {
-	from := q.At.Add(-q.milliseconds("took-ms") - lookback)
-	if namesKey(l, q.text("key")) && l.At.Before(q.At) {
+func (t *Timeline) isRelated(l, request *Line) bool {
+	from := request.At.Add(-request.milliseconds("took-ms") - lookback)
+	if namesKey(l, request.text("key")) && l.At.Before(request.At) {
 		// What made the request suspect may lie long before it.
 		return true
 	}
-	if l.At.Before(from) || l.At.After(q.At) {
+	if l.At.Before(from) || l.At.After(request.At) {
 		return false
 	}
 	if l.Message == droppedMessage {
 		t.Dropped = true
 		return true
 	}
-	if l.text("logger") == "" || strings.HasPrefix(l.text("logger"), "group") || l.Host == q.Host {
+	if l.text("logger") == "" || strings.HasPrefix(l.text("logger"), "group") || l.Host == request.Host {
 		return true
 	}
 	for _, key := range sharedKeys {
-		if v := q.text(key); v != "" && v == l.text(key) {
+		if v := request.text(key); v != "" && v == l.text(key) {
 			return true
 		}
 	}
@@ -195,43 +195,43 @@
 }
 
 // Cause describes in a sentence what determined a request's outcome.
-func Cause(q *Line) string {
-	waited, first, pause := q.milliseconds("waited-ms"), q.milliseconds("first-ms"), q.milliseconds("pause-ms")
-	switch q.text("outcome") {
+func Cause(request *Line) string {
+	waited, first, pause := request.milliseconds("waited-ms"), request.milliseconds("first-ms"), request.milliseconds("pause-ms")
+	switch request.text("outcome") {
 	case "no-configuration":
 		return "the entry had no configuration yet: it had just started and had received no update from a leader"
 	case "no-route":
-		return "no route of version " + q.text("version") + " matches the host and path"
+		return "no route of version " + request.text("version") + " matches the host and path"
 	case "no-model":
-		return fmt.Sprintf("no server had model %s loaded; after %v the remaining time was too short by the leader's forecast, or the leader was silent", q.text("model"), waited)
+		return fmt.Sprintf("no server had model %s loaded; after %v the remaining time was too short by the leader's forecast, or the leader was silent", request.text("model"), waited)
 	case "no-server":
-		return "no server of pool " + q.text("pool") + " was known to be ready"
+		return "no server of pool " + request.text("pool") + " was known to be ready"
 	case "busy":
-		return "the servers of pool " + q.text("pool") + " were full: " + q.text("cause")
+		return "the servers of pool " + request.text("pool") + " were full: " + request.text("cause")
 	case "repeat-budget":
-		return "an attempt failed and the retry budget was exhausted: " + q.text("cause")
+		return "an attempt failed and the retry budget was exhausted: " + request.text("cause")
 	case "outcome-unknown":
-		return "server " + q.text("server") + " accepted the request and sent no response; it may have run and must not run twice: " + q.text("cause")
+		return "server " + request.text("server") + " accepted the request and sent no response; it may have run and must not run twice: " + request.text("cause")
 	case "cut":
-		return "the response from server " + q.text("server") + " was interrupted and no other server could resume it: " + q.text("cause")
+		return "the response from server " + request.text("server") + " was interrupted and no other server could resume it: " + request.text("cause")
 	case "timeout":
-		return fmt.Sprintf("the request timed out after %d attempts, with %v spent waiting for a model: %s", int(q.number("attempts")), waited, q.text("cause"))
+		return fmt.Sprintf("the request timed out after %d attempts, with %v spent waiting for a model: %s", int(request.number("attempts")), waited, request.text("cause"))
 	case "bad-body":
-		return "the request body was incomplete or too large: " + q.text("cause")
+		return "the request body was incomplete or too large: " + request.text("cause")
 	case "caller-gone":
-		return "the caller disconnected before the response"
+		return "the caller disconnected before the response was complete"
 	case "held-back":
-		return "three servers had ended while they ran the same request, see key " + q.text("key") + "; it is held back"
+		return "three servers had ended while they ran the same request, see key " + request.text("key") + "; it is held back"
 	case "unauthorized":
-		return "the request's API key belongs to no team in version " + q.text("version") + ", confirmed " + q.text("confirmed-age-ms") + " ms before"
+		return "the request's API key belongs to no team in version " + request.text("version") + ", confirmed " + request.text("confirmed-age-ms") + " ms before"
 	case "keys-unconfirmed":
-		return "the entry could not confirm its configuration for " + q.text("confirmed-age-ms") + " ms; the API key may have been added or revoked since"
+		return "the entry could not confirm its configuration for " + request.text("confirmed-age-ms") + " ms; the API key may have been added or revoked since"
 	case "over-quota":
-		return "team " + q.text("team") + " had exhausted its quota over all entries"
+		return "team " + request.text("team") + " had exhausted its quota over all entries"
 	case "entry-stopping":
-		return fmt.Sprintf("the entry was stopped and had no time left to serve the request, after waiting %v for a model: %s", waited, q.text("cause"))
+		return fmt.Sprintf("the entry was stopped and had no time left to serve the request, after waiting %v for a model: %s", waited, request.text("cause"))
 	case "server-failed":
-		return "server " + q.text("server") + " responded with status " + q.text("status")
+		return "server " + request.text("server") + " responded with status " + request.text("status")
 	}
-	return fmt.Sprintf("served by %s; first byte after %v (%v of it spent waiting for a model), longest pause %v", q.text("server"), first, waited, pause)
+	return fmt.Sprintf("served by %s; first byte after %v (%v of it spent waiting for a model), longest pause %v", request.text("server"), first, waited, pause)
 }
