--- a/internal/asynclog/asynclog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,7 +1,7 @@
 // Package asynclog writes log lines without blocking the caller. Lines go through a
 // buffer of fixed size to one goroutine that writes them. While the output is
 // blocked, lines are dropped and counted, lines about requests before lines about
-// changes of observed state.
+// changes of observed state. The count is logged once the buffer is empty again.
 package asynclog
 
 import (
--- a/internal/metrics/routes.go
+++ b/internal/metrics/routes.go
@@ -42,8 +42,8 @@
 
 // RefusedMessage counts a message of a server or an operator that was refused, by the kind of
 // the message and the reason.
-func (s *Set) RefusedMessage(what, reason string) {
-	s.refusedMessages.WithLabelValues(what, reason).Inc()
+func (s *Set) RefusedMessage(kind, reason string) {
+	s.refusedMessages.WithLabelValues(kind, reason).Inc()
 }
 
 // RouteRequest records a finished request on a route: its status, its duration, the time to the
@@ -89,14 +89,14 @@
 // Order records the outcome of an order to an engine, to load or to unload a model or an
 // adapter.
 func (s *Set) Order(outcome string, load, adapter bool) {
-	what := "unload"
+	operation := "unload"
 	if load {
-		what = "load"
+		operation = "load"
 	}
 	if adapter {
-		what += "-adapter"
+		operation += "-adapter"
 	}
-	s.engineOrders.WithLabelValues(what, outcome).Inc()
+	s.engineOrders.WithLabelValues(operation, outcome).Inc()
 }
 
 // BackendConnection records an attempt to connect to a backend server; err is nil if it succeeded.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -40,22 +40,22 @@
 
 // Apply requests a plan for an intent. The reply contains whether the command was
 // accepted.
-func (c *Client) Apply(ctx context.Context, q *schema.IntentRequest) (*schema.OperatorReply, error) {
-	return c.command(ctx, "/v1/intents", q)
+func (c *Client) Apply(ctx context.Context, request *schema.IntentRequest) (*schema.OperatorReply, error) {
+	return c.command(ctx, "/v1/intents", request)
 }
 
 // Decide confirms or rejects a plan.
-func (c *Client) Decide(ctx context.Context, plan uint64, confirm bool, q *schema.DecisionRequest) (*schema.OperatorReply, error) {
+func (c *Client) Decide(ctx context.Context, plan uint64, confirm bool, request *schema.DecisionRequest) (*schema.OperatorReply, error) {
 	verb := "reject"
 	if confirm {
 		verb = "confirm"
 	}
-	return c.command(ctx, "/v1/plans/"+strconv.FormatUint(plan, 10)+"/"+verb, q)
+	return c.command(ctx, "/v1/plans/"+strconv.FormatUint(plan, 10)+"/"+verb, request)
 }
 
 // Forget declares that a lost server will not return.
-func (c *Client) Forget(ctx context.Context, server string, q *schema.ForgetRequest) (*schema.OperatorReply, error) {
-	return c.command(ctx, "/v1/servers/"+server+"/forget", q)
+func (c *Client) Forget(ctx context.Context, server string, request *schema.ForgetRequest) (*schema.OperatorReply, error) {
+	return c.command(ctx, "/v1/servers/"+server+"/forget", request)
 }
 
 // Intents returns the plans and the revision on which the next command must be based.
@@ -76,29 +76,29 @@
 	return out, c.call(ctx, http.MethodGet, "/v1/status", nil, out)
 }
 
-// Suspects returns the requests during which servers terminated, as known to the host.
+// Suspects returns the requests during which servers ended, as known to the host.
 func (c *Client) Suspects(ctx context.Context) (*schema.SuspectList, error) {
 	out := &schema.SuspectList{}
 	return out, c.call(ctx, http.MethodGet, SuspectsPath, nil, out)
 }
 
-// Release releases a suspect request from quarantine.
-func (c *Client) Release(ctx context.Context, key string, q *schema.ReleaseRequest) (*schema.OperatorReply, error) {
-	return c.command(ctx, SuspectsPath+"/"+url.PathEscape(key)+"/release", q)
+// Release clears a suspect request, so that it is no longer held back.
+func (c *Client) Release(ctx context.Context, key string, request *schema.ReleaseRequest) (*schema.OperatorReply, error) {
+	return c.command(ctx, SuspectsPath+"/"+url.PathEscape(key)+"/release", request)
 }
 
-func (c *Client) command(ctx context.Context, path string, q proto.Message) (*schema.OperatorReply, error) {
+func (c *Client) command(ctx context.Context, path string, request proto.Message) (*schema.OperatorReply, error) {
 	out := &schema.OperatorReply{}
-	return out, c.call(ctx, http.MethodPost, path, q, out)
+	return out, c.call(ctx, http.MethodPost, path, request, out)
 }
 
 // call decodes every response of the expected type, whatever its HTTP status: the
 // reply to a refused command contains more information than its status.
-func (c *Client) call(ctx context.Context, method, path string, q, out proto.Message) error {
+func (c *Client) call(ctx context.Context, method, path string, request, out proto.Message) error {
 	var body []byte
-	if q != nil {
+	if request != nil {
 		var err error
-		if body, err = protojson.Marshal(q); err != nil {
+		if body, err = protojson.Marshal(request); err != nil {
 			return errors.Newf("encode command: %w", err)
 		}
 	}
--- a/internal/operator/suspects.go
+++ b/internal/operator/suspects.go
@@ -16,7 +16,7 @@
 	"fennelyard/internal/schema"
 )
 
-// SuspectsPath is the path under which requests that terminate their servers are listed
+// SuspectsPath is the path under which requests during which servers ended are listed
 // and released.
 const SuspectsPath = "/v1/suspects"
 
@@ -27,8 +27,8 @@
 type SuspectsConfig struct {
 	// List returns the suspect requests known to this host.
 	List func() []*schema.SuspectView
-	// Release releases a request from quarantine. It returns false if the request
-	// was not suspect.
+	// Release clears a suspect request, so that it is no longer held back. It returns
+	// false if the request was not suspect.
 	Release func(quarantine.Key) bool
 	Log     logr.Logger
 }
@@ -50,15 +50,15 @@
 	if err != nil {
 		return refuse(c, refusal.New(refusal.BodyTooLarge, "a release has at most %d bytes", maxReleaseBytes))
 	}
-	q := &schema.ReleaseRequest{}
-	if err = protojson.Unmarshal(data, q); err != nil {
+	request := &schema.ReleaseRequest{}
+	if err = protojson.Unmarshal(data, request); err != nil {
 		return refuse(c, refusal.New(refusal.BadRequest, "%v", err))
 	}
-	if q.GetOperator() == "" {
+	if request.GetOperator() == "" {
 		return refuse(c, refusal.New(refusal.BadRequest, "operator is needed: the log says who asked"))
 	}
 	released := cfg.Release(key)
-	cfg.Log.Info("release asked", "key", key.String(), "operator", q.GetOperator(), "released", released)
+	cfg.Log.Info("release asked", "key", key.String(), "operator", request.GetOperator(), "released", released)
 	if !released {
 		return refuse(c, refusal.New(refusal.UnknownTarget, "no request under suspicion has the key %s", key))
 	}
