--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -102,11 +102,11 @@
 			return errors.Newf("encode command: %w", err)
 		}
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.address+path, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, method, "http://"+c.address+path, bytes.NewReader(body))
 	if err != nil {
 		return errors.Newf("create request: %w", err)
 	}
-	resp, err := c.http.Do(req)
+	resp, err := c.http.Do(httpRequest)
 	if err != nil {
 		return errors.Newf("reach %s: %w", c.address, err)
 	}
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -58,7 +58,7 @@
 // Listen listens at an IP:PORT address, like net.Listen. It returns EADDRINUSE if the address is in
 // use.
 func (n *Network) Listen(_, address string) (net.Listener, error) {
-	at, err := netip.ParseAddrPort(address)
+	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, errors.Newf("listen: %w", err)
 	}
@@ -67,7 +67,7 @@
 	if n.listeners[address] != nil {
 		return nil, errors.Newf("listen at %s: %w", address, syscall.EADDRINUSE)
 	}
-	l := &networkListener{network: n, address: at, queue: make(chan net.Conn, networkBacklog), closed: make(chan struct{})}
+	l := &networkListener{network: n, address: addrPort, queue: make(chan net.Conn, networkBacklog), closed: make(chan struct{})}
 	n.listeners[address] = l
 	return l, nil
 }
@@ -128,11 +128,11 @@
 }
 
 func (n *Network) dial(ctx context.Context, from, address string) (net.Conn, error) {
-	at, err := netip.ParseAddrPort(address)
+	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, errors.Newf("dial: %w", err)
 	}
-	to := at.Addr().String()
+	to := addrPort.Addr().String()
 	select {
 	case <-ctx.Done():
 		return nil, errors.Newf("dial %s: %w", address, ctx.Err())
@@ -144,7 +144,7 @@
 			return nil, errors.Newf("dial %s: %w", address, syscall.ECONNREFUSED)
 		}
 		if reachable {
-			client, server := n.connect(from, at)
+			client, server := n.connect(from, addrPort)
 			select {
 			case l.queue <- server:
 				return client, nil
@@ -171,16 +171,16 @@
 	return n.listeners[address], reachable, n.changed
 }
 
-func (n *Network) connect(from string, at netip.AddrPort) (client, server *networkConn) {
+func (n *Network) connect(from string, addrPort netip.AddrPort) (client, server *networkConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lastPort++
 	local := netip.AddrPortFrom(netip.MustParseAddr(from), uint16(n.lastPort))
-	to := at.Addr().String()
+	to := addrPort.Addr().String()
 	outbound := &pipe{network: n, direction: direction{from, to}, fromPowerLosses: n.powerLosses[from], toPowerLosses: n.powerLosses[to], changed: make(chan struct{})}
 	inbound := &pipe{network: n, direction: direction{to, from}, fromPowerLosses: n.powerLosses[to], toPowerLosses: n.powerLosses[from], changed: make(chan struct{})}
-	client = &networkConn{in: inbound, out: outbound, local: net.TCPAddrFromAddrPort(local), remote: net.TCPAddrFromAddrPort(at)}
-	server = &networkConn{in: outbound, out: inbound, local: net.TCPAddrFromAddrPort(at), remote: net.TCPAddrFromAddrPort(local)}
+	client = &networkConn{in: inbound, out: outbound, local: net.TCPAddrFromAddrPort(local), remote: net.TCPAddrFromAddrPort(addrPort)}
+	server = &networkConn{in: outbound, out: inbound, local: net.TCPAddrFromAddrPort(addrPort), remote: net.TCPAddrFromAddrPort(local)}
 	return client, server
 }
 
