--- a/cmd/fennelyard/standin.go
+++ b/cmd/fennelyard/standin.go
@@ -113,7 +113,7 @@
 			if err != nil {
 				return err
 			}
-			w := standin.NewWeightStore(standin.WeightStoreConfig{Listener: l, LoadsPerSecond: loads, FullSpeed: 4, MiBPerSecond: rate})
+			w := standin.NewWeightStore(standin.WeightStoreConfig{Listener: l, LoadsPerSecond: loads, FullSpeedLoads: 4, MiBPerSecond: rate})
 			<-c.Context().Done()
 			w.Close()
 			return nil
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// MaxKey is the maximum length of a request key in bytes.
-	MaxKey = 128
+	// MaxKeyBytes is the maximum length of a request key in bytes.
+	MaxKeyBytes = 128
 	// claimTimeout bounds the claim, so that a caller is refused promptly if the
 	// control group has no quorum.
 	claimTimeout = 2 * time.Second
--- a/internal/consensus/storage.go
+++ b/internal/consensus/storage.go
@@ -37,7 +37,7 @@
 	fileMode     = 0o640
 	checksumSize = 4
 	indexSize    = 8
-	// defaultReserveBytes is the default of StorageConfig.Reserve.
+	// defaultReserveBytes is the default of StorageConfig.ReserveBytes.
 	defaultReserveBytes = 64 << 20
 )
 
@@ -61,9 +61,9 @@
 	// FreeBytes returns the free space on the disk of a folder; nil means never
 	// full.
 	FreeBytes func(folder string) (uint64, error)
-	// Reserve is the space in bytes that is left free on the disk for elections
+	// ReserveBytes is the space that is left free on the disk for elections
 	// and snapshots; 0 means 64 MiB.
-	Reserve uint64
+	ReserveBytes uint64
 	// BeforeWrite, if set, is called before each write. It can block to simulate a
 	// stalled disk.
 	BeforeWrite func()
@@ -89,8 +89,8 @@
 	if err := checkDatabaseFile(path); err != nil {
 		return nil, errors.Newf("check %s: %w", path, err)
 	}
-	if cfg.Reserve == 0 {
-		cfg.Reserve = defaultReserveBytes
+	if cfg.ReserveBytes == 0 {
+		cfg.ReserveBytes = defaultReserveBytes
 	}
 	s := &Storage{cfg: cfg}
 	if err := s.open(path); err != nil {
@@ -397,7 +397,7 @@
 	if err != nil {
 		return errors.Newf("ask for room: %w", err)
 	}
-	if free < s.cfg.Reserve {
+	if free < s.cfg.ReserveBytes {
 		return ErrDiskFull
 	}
 	return nil
--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -51,11 +51,11 @@
 	// concurrent queries to a busy leader this must not affect the connection on
 	// which the leader reports its leadership.
 	QueryDialer *peer.Dialer
-	// Heartbeat is the heartbeat interval of the group, Election the shortest
-	// election timeout.
-	Heartbeat     time.Duration
-	Election      time.Duration
-	SnapshotAfter uint64
+	// HeartbeatInterval is the heartbeat interval of the group, ElectionTimeout the
+	// shortest election timeout.
+	HeartbeatInterval time.Duration
+	ElectionTimeout   time.Duration
+	SnapshotAfter     uint64
 	// SilentTicks is passed to consensus.MemberConfig; 0 means that silent voters
 	// are never replaced.
 	SilentTicks int
@@ -126,7 +126,7 @@
 		StateMachine: consensus.StateMachine{
 			Apply: g.ledger.Apply, Advance: g.ledger.Advance, Snapshot: g.ledger.Snapshot, Restore: g.ledger.Restore,
 		},
-		Tick: g.cfg.Heartbeat, ElectionTicks: int(g.cfg.Election / g.cfg.Heartbeat),
+		Tick: g.cfg.HeartbeatInterval, ElectionTicks: int(g.cfg.ElectionTimeout / g.cfg.HeartbeatInterval),
 		SnapshotAfter: g.cfg.SnapshotAfter, SilentTicks: g.cfg.SilentTicks, Random: g.cfg.Random,
 		LeaderChanged: func(s consensus.MemberStatus) {
 			g.cfg.Log.Info("control role", "role", s.Role.String(), "term", s.Term, "leader", s.LeaderHost)
@@ -210,8 +210,8 @@
 		return
 	}
 	m.TransferLeadership()
-	limit := time.After(g.cfg.Election)
-	ticker := time.NewTicker(g.cfg.Heartbeat)
+	limit := time.After(g.cfg.ElectionTimeout)
+	ticker := time.NewTicker(g.cfg.HeartbeatInterval)
 	defer ticker.Stop()
 	for m.Status().Role == consensus.RoleLeader {
 		select {
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -121,7 +121,7 @@
 				more = false
 			}
 		}
-		t.deliver(address, batch, max(t.cfg.Election/2, minDeliverTimeout))
+		t.deliver(address, batch, max(t.cfg.ElectionTimeout/2, minDeliverTimeout))
 	}
 }
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -153,7 +153,7 @@
 	if err != nil {
 		return "", errors.Newf("listen: %w", err)
 	}
-	d.weightStore = standin.NewWeightStore(standin.WeightStoreConfig{Listener: l, LoadsPerSecond: 3, FullSpeed: 4, MiBPerSecond: 8192})
+	d.weightStore = standin.NewWeightStore(standin.WeightStoreConfig{Listener: l, LoadsPerSecond: 3, FullSpeedLoads: 4, MiBPerSecond: 8192})
 	for i := range engineCount {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.%d:0", 41+i))
 		if err != nil {
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -134,8 +134,8 @@
 	if in.customer == "" {
 		return in, refusal.New(refusal.UnknownCustomer, "header %s is missing", routing.HeaderCustomer)
 	}
-	if len(in.key) > claim.MaxKey {
-		return in, refusal.New(refusal.BadRequest, "header %s has more than %d bytes", HeaderIdempotencyKey, claim.MaxKey)
+	if len(in.key) > claim.MaxKeyBytes {
+		return in, refusal.New(refusal.BadRequest, "header %s has more than %d bytes", HeaderIdempotencyKey, claim.MaxKeyBytes)
 	}
 	body, refused := e.readBody(c)
 	in.body = body
--- a/internal/entry/model.go
+++ b/internal/entry/model.go
@@ -217,7 +217,7 @@
 
 // forwardResponse buffers a response until it is complete, so that a request with a
 // truncated response can be retried and no caller receives a part of one.
-func (a *attempts) forwardResponse(ctx context.Context, c echo.Context, chosen routing.Candidate, reply *routing.Reply) (finished, served bool, r *refusal.Refusal) {
+func (a *attempts) forwardResponse(ctx context.Context, c echo.Context, chosen routing.Candidate, reply *routing.Response) (finished, served bool, r *refusal.Refusal) {
 	body, err := reply.ReadAll(maxResponseBytes)
 	if err == nil && reply.Status() == http.StatusOK && !json.Valid(body) {
 		err = errors.Newf("not JSON: %w", routing.ErrIncomplete)
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -74,7 +74,7 @@
 // forwardStream forwards events as they arrive. After the first event there is no
 // other attempt; a stream with numbered events is resumed at the same server.
 func (a *attempts) forwardStream(ctx context.Context, c echo.Context, chosen routing.Candidate, call routing.Call,
-	reply *routing.Reply,
+	reply *routing.Response,
 ) (finished, served bool, r *refusal.Refusal) {
 	s := &streamForwarder{a: a, c: c}
 	err := s.forward(ctx, reply)
@@ -110,7 +110,7 @@
 
 // forward forwards events and returns nil only after the end marker. A connection
 // that closes regularly before it is an interrupted stream.
-func (s *streamForwarder) forward(ctx context.Context, reply *routing.Reply) error {
+func (s *streamForwarder) forward(ctx context.Context, reply *routing.Response) error {
 	silence := time.AfterFunc(streamSilenceTimeout, reply.Close)
 	defer silence.Stop()
 	r := bufio.NewReaderSize(reply.Body(), maxEventBytes)
@@ -136,7 +136,7 @@
 	}
 }
 
-func (s *streamForwarder) forwardEvent(reply *routing.Reply, ev event) {
+func (s *streamForwarder) forwardEvent(reply *routing.Response, ev event) {
 	w := s.c.Response()
 	if !s.started {
 		s.started = true
--- a/internal/entry/suspects.go
+++ b/internal/entry/suspects.go
@@ -84,7 +84,7 @@
 // not the latest only if the entry stops.
 func (e *Entry) recordSince(change uint64) uint64 {
 	for {
-		list, to := e.guard.Suspects().Since(change, quarantine.PartNoted)
+		list, to := e.guard.Suspects().Since(change, quarantine.PartOwn)
 		if len(list) == 0 {
 			return to
 		}
--- a/internal/gateway/subscriber.go
+++ b/internal/gateway/subscriber.go
@@ -289,7 +289,7 @@
 func (s *subscriber) sendReports(ctx context.Context, stream grpc.BidiStreamingClient[schema.EntryNews, schema.LeaderNews], report *schema.EntryNews) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
-	suspects := s.g.guard.Suspects().Reader(quarantine.PartNoted)
+	suspects := s.g.guard.Suspects().Reader(quarantine.PartOwn)
 	for periodic := true; ; {
 		report.Suspects = suspects.Next()
 		report.Stopping = s.g.draining.Load()
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -165,7 +165,7 @@
 	}
 	h.group, err = control.NewGroup(control.Config{
 		Group: controlGroupID, Self: h.self, Hosts: h.cfg.Settings.GetHosts(), Storage: h.storage, Dialer: h.dialer,
-		Heartbeat: c.GetHeartbeat().AsDuration(), Election: c.GetElectionTimeout().AsDuration(),
+		HeartbeatInterval: c.GetHeartbeat().AsDuration(), ElectionTimeout: c.GetElectionTimeout().AsDuration(),
 		SnapshotAfter: c.GetSnapshotAfter(), Random: rand.IntN, Log: h.cfg.Log.WithName("group"),
 	})
 	if err != nil {
--- a/internal/loading/adapters.go
+++ b/internal/loading/adapters.go
@@ -86,7 +86,7 @@
 		}
 		copies[next]++
 		p.markBusy(e)
-		p.actions = append(p.actions, Action{Reason: ReasonStock, Engine: e.ID, Load: true, Model: next.model, Adapter: next.adapter})
+		p.actions = append(p.actions, Action{Reason: ReasonPreload, Engine: e.ID, Load: true, Model: next.model, Adapter: next.adapter})
 	}
 }
 
--- a/internal/loading/cluster_test.go
+++ b/internal/loading/cluster_test.go
@@ -153,7 +153,7 @@
 	case o.Adapter != "" && !loaded:
 		return loading.OutcomeConflict
 	case o.Adapter != "" && o.Load == adapters[o.Adapter], o.Adapter == "" && o.Load == loaded:
-		return loading.OutcomeHolds
+		return loading.OutcomeAlreadyDone
 	case o.Adapter != "" && o.Load:
 		adapters[o.Adapter] = true
 	case o.Adapter != "":
--- a/internal/loading/input.go
+++ b/internal/loading/input.go
@@ -101,8 +101,8 @@
 	ReasonWaiting Reason = iota // waiting
 	// ReasonBusy: the replicas of a model have too many requests.
 	ReasonBusy // busy
-	// ReasonStock: a model has too few copies, or an adapter is preloaded.
-	ReasonStock // stock
+	// ReasonPreload: a model has too few copies, or an adapter is preloaded.
+	ReasonPreload // stock
 )
 
 // Action is an order to send.
--- a/internal/loading/order.go
+++ b/internal/loading/order.go
@@ -18,13 +18,13 @@
 	OutcomeUnknown Outcome = iota // unknown
 	// OutcomeTaken: the engine executes the order.
 	OutcomeTaken // taken
-	// OutcomeHolds: the state that the order requests exists already.
-	OutcomeHolds // holds-already
+	// OutcomeAlreadyDone: the state that the order requests exists already.
+	OutcomeAlreadyDone // holds-already
 	// OutcomeConflict: another order is in progress, or the engine has taken a different number
 	// of orders than expected.
 	OutcomeConflict // conflict
-	// OutcomeOther: another incarnation is at the address.
-	OutcomeOther // other-server
+	// OutcomeOtherIncarnation: another incarnation is at the address.
+	OutcomeOtherIncarnation // other-server
 	// OutcomeRefused: the engine will not execute the order.
 	OutcomeRefused // refused
 )
--- a/internal/loading/outcome_string.go
+++ b/internal/loading/outcome_string.go
@@ -10,9 +10,9 @@
 	var x [1]struct{}
 	_ = x[OutcomeUnknown-0]
 	_ = x[OutcomeTaken-1]
-	_ = x[OutcomeHolds-2]
+	_ = x[OutcomeAlreadyDone-2]
 	_ = x[OutcomeConflict-3]
-	_ = x[OutcomeOther-4]
+	_ = x[OutcomeOtherIncarnation-4]
 	_ = x[OutcomeRefused-5]
 }
 
--- a/internal/loading/plan_test.go
+++ b/internal/loading/plan_test.go
@@ -135,7 +135,7 @@
 		},
 		"a model without a copy is preloaded": {
 			input([]*loading.Model{model("m", nil)}, engine("e1")),
-			[]loading.Action{{Reason: loading.ReasonStock, Engine: "e1", Load: true, Model: "m", FromStore: true}},
+			[]loading.Action{{Reason: loading.ReasonPreload, Engine: "e1", Load: true, Model: "m", FromStore: true}},
 		},
 		"room made for a model is used for it": {
 			func() loading.Input {
@@ -204,14 +204,14 @@
 					m.Adapters, m.AdapterRate = []string{"a1", "a2"}, map[string]float64{"a1": 1, "a2": 3}
 				})}, first, engine("e2", "m"))
 			}(),
-			[]loading.Action{{Reason: loading.ReasonStock, Engine: "e2", Load: true, Model: "m", Adapter: "a2"}},
+			[]loading.Action{{Reason: loading.ReasonPreload, Engine: "e2", Load: true, Model: "m", Adapter: "a2"}},
 		},
 		"free slots preload adapters of busy models": {
 			input([]*loading.Model{model("m", func(m *loading.Model) {
 				busy(1)(m)
 				m.Adapters = []string{"a1"}
 			})}, engine("e1", "m")),
-			[]loading.Action{{Reason: loading.ReasonStock, Engine: "e1", Load: true, Model: "m", Adapter: "a1"}},
+			[]loading.Action{{Reason: loading.ReasonPreload, Engine: "e1", Load: true, Model: "m", Adapter: "a1"}},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/loading/preload.go
+++ b/internal/loading/preload.go
@@ -46,7 +46,7 @@
 		p.placeReplica(&Model{
 			Name: m.Name, MemoryMB: m.MemoryMB, AdapterMB: m.AdapterMB, StoreLoadTime: m.StoreLoadTime,
 			DiskLoadTime: m.DiskLoadTime, MemoryLoadTime: m.MemoryLoadTime, Rate: math.Inf(1),
-		}, ReasonStock)
+		}, ReasonPreload)
 	}
 }
 
--- a/internal/loading/reason_string.go
+++ b/internal/loading/reason_string.go
@@ -10,7 +10,7 @@
 	var x [1]struct{}
 	_ = x[ReasonWaiting-0]
 	_ = x[ReasonBusy-1]
-	_ = x[ReasonStock-2]
+	_ = x[ReasonPreload-2]
 }
 
 const _Reason_name = "waitingbusystock"
--- a/internal/loading/sending.go
+++ b/internal/loading/sending.go
@@ -79,7 +79,7 @@
 	switch outcome {
 	case OutcomeTaken:
 		d.handleOrderTaken(e, now)
-	case OutcomeHolds:
+	case OutcomeAlreadyDone:
 		if !o.Load && o.Adapter != "" {
 			// Unloading an adapter is immediate and counts as an order taken.
 			e.ordersTaken++
@@ -88,7 +88,7 @@
 	case OutcomeConflict, OutcomeRefused:
 		// The engine's state differs from the known one; reports lag behind it.
 		e.phase, e.notBefore = phaseUnknown, now.Add(reportMaxLag)
-	case OutcomeOther:
+	case OutcomeOtherIncarnation:
 		d.retainLateLoads(e, now)
 		d.removeEngine(e)
 	case OutcomeUnknown:
--- a/internal/quarantine/part_string.go
+++ b/internal/quarantine/part_string.go
@@ -9,7 +9,7 @@
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
 	_ = x[PartAll-0]
-	_ = x[PartNoted-1]
+	_ = x[PartOwn-1]
 	_ = x[PartHeld-2]
 	_ = x[PartLikely-3]
 }
--- a/internal/quarantine/suspects.go
+++ b/internal/quarantine/suspects.go
@@ -312,8 +312,8 @@
 const (
 	// PartAll is all records, for hosts that may become the leader.
 	PartAll Part = iota // all
-	// PartNoted is the records that did not come from the leader, which needs them.
-	PartNoted // noted
+	// PartOwn is the records that did not come from the leader, which needs them.
+	PartOwn // noted
 	// PartHeld is the requests that are or were held back, for entries.
 	PartHeld // held
 	// PartLikely is the requests that are held back or would be after one more server, for
@@ -325,7 +325,7 @@
 // part.
 func (p Part) changeNumber(r *record) uint64 {
 	switch {
-	case p == PartNoted:
+	case p == PartOwn:
 		return r.ownChange
 	case p == PartHeld && len(r.ended) < holdThreshold, p == PartLikely && len(r.ended) < holdThreshold-1:
 		return 0
--- a/internal/quarantine/suspects_test.go
+++ b/internal/quarantine/suspects_test.go
@@ -144,7 +144,7 @@
 		one.RecordEnded(keyOf("/1"), strconv.Itoa(i))
 	}
 	before, _ := one.HeldBack(keyOf("/1"))
-	records, _ := one.Since(0, quarantine.PartNoted)
+	records, _ := one.Since(0, quarantine.PartOwn)
 	c.current = c.current.Add(time.Second)
 	require.True(t, two.Merge(records, false))
 	back, _ := two.Since(0, quarantine.PartAll)
@@ -176,7 +176,7 @@
 	change := uint64(0)
 	for range 4 {
 		var list []*schema.Suspect
-		list, change = set.Since(change, quarantine.PartNoted)
+		list, change = set.Since(change, quarantine.PartOwn)
 		require.LessOrEqual(t, len(list), 256)
 		total += len(list)
 	}
--- a/internal/role/control.go
+++ b/internal/role/control.go
@@ -194,7 +194,7 @@
 	var err error
 	c.storage, err = consensus.OpenStorage(consensus.StorageConfig{
 		Folder: filepath.Join(s.GetDataFolder(), "control"), Group: groupID, NewID: consensus.RandomID,
-		FreeBytes: consensus.FreeBytes, Reserve: uint64(s.GetDiskMb()) << 20 / diskReserveDivisor,
+		FreeBytes: consensus.FreeBytes, ReserveBytes: uint64(s.GetDiskMb()) << 20 / diskReserveDivisor,
 		BeforeWrite: c.cfg.BeforeWrite,
 	})
 	if err != nil {
@@ -202,7 +202,7 @@
 	}
 	c.group, err = control.NewGroup(control.Config{
 		Group: groupID, Self: c.self, Seeds: c.cfg.Settings.Seeds, Bootstrap: s.GetFounding(),
-		Storage: c.storage, Dialer: c.dialer, QueryDialer: c.orderDialer, Heartbeat: heartbeatInterval, Election: electionTimeout,
+		Storage: c.storage, Dialer: c.dialer, QueryDialer: c.orderDialer, HeartbeatInterval: heartbeatInterval, ElectionTimeout: electionTimeout,
 		SnapshotAfter: snapshotAfterEntries, SilentTicks: silentHeartbeats, Random: c.cfg.Random, Log: c.cfg.Log.WithName("group"),
 	})
 	if err != nil {
--- a/internal/role/follow.go
+++ b/internal/role/follow.go
@@ -154,7 +154,7 @@
 	ticker := time.NewTicker(hostUpdateInterval)
 	defer ticker.Stop()
 	host := &schema.ControlHost{Address: c.self.GetPeerAddress(), DataCentre: c.self.GetDataCentre()}
-	suspects := c.suspects.Reader(quarantine.PartNoted)
+	suspects := c.suspects.Reader(quarantine.PartOwn)
 	for intervalElapsed := true; ; {
 		report := c.subscribers.NextReport(subscription.Progress{Known: c.mirror.Position(), Revision: c.appliedIndex()}, intervalElapsed)
 		report.Host, report.Lagging, report.Servers = host, c.logLags(), c.announcements.TakePending()
--- a/internal/role/host_session.go
+++ b/internal/role/host_session.go
@@ -122,7 +122,7 @@
 	if u := report.GetTeamUses(); u != nil {
 		h.c.quotas.Report(h.address(), u, time.Now())
 	}
-	h.c.roster.UpdateHost(h.number, h.address(), h.term, report)
+	h.c.roster.ApplyHostReport(h.number, h.address(), h.term, report)
 	h.c.driver.HandleDemand(h.address(), report.GetDemands())
 	h.pacer.setQuery(report.GetDemands())
 	h.c.suspects.Merge(report.GetSuspects(), false)
--- a/internal/role/refusals.go
+++ b/internal/role/refusals.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// RecordSkippedEntries logs and counts the items of a server's lists that could not be
+// RecordSkippedItems logs and counts the items of a server's lists that could not be
 // parsed; the other items are used.
-func (c *Control) RecordSkippedEntries(server string, items int) {
+func (c *Control) RecordSkippedItems(server string, items int) {
 	const kind, reason = "announcement", "entries"
 	c.cfg.Metrics.RefusedMessage(kind, reason)
 	if c.refusalLog.allow(refusalKey{kind, reason}) {
--- a/internal/roster/hosts.go
+++ b/internal/roster/hosts.go
@@ -84,9 +84,9 @@
 	return nil
 }
 
-// UpdateHost applies a report that a control host sent in a term. A roster position of
+// ApplyHostReport applies a report that a control host sent in a term. A roster position of
 // another term is ignored.
-func (r *Roster) UpdateHost(stream uint64, host string, term uint64, report *schema.HostNews) {
+func (r *Roster) ApplyHostReport(stream uint64, host string, term uint64, report *schema.HostNews) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h := r.currentHost(stream, host)
--- a/internal/roster/hosts_test.go
+++ b/internal/roster/hosts_test.go
@@ -65,12 +65,12 @@
 	r, _ := newSettledRoster()
 	r.HostConnected(1, controlHost("h1"))
 	r.HostConnected(2, controlHost("h2"))
-	r.UpdateHost(1, "h1", term, entriesReport("e1", "e2"))
-	r.UpdateHost(2, "h2", term, entriesReport("e3"))
+	r.ApplyHostReport(1, "h1", term, entriesReport("e1", "e2"))
+	r.ApplyHostReport(2, "h2", term, entriesReport("e3"))
 	require.Equal(t, []string{"e1", "e2", "e3"}, directoryHosts(r))
 	stopping := entriesReport("e1", "e2")
 	stopping.Entries[1].Stopping = true
-	r.UpdateHost(1, "h1", term, stopping)
+	r.ApplyHostReport(1, "h1", term, stopping)
 	require.Equal(t, []string{"e1", "e3"}, directoryHosts(r))
 }
 
@@ -82,16 +82,16 @@
 	r, c := newSettledRoster()
 	r.HostConnected(1, controlHost("h1"))
 	r.HostConnected(2, controlHost("h2"))
-	r.UpdateHost(1, "h1", term, entriesReport("e1", "e2"))
+	r.ApplyHostReport(1, "h1", term, entriesReport("e1", "e2"))
 	r.HostDisconnected(1, "h1")
 	require.Equal(t, []string{"e1", "e2"}, directoryHosts(r))
-	r.UpdateHost(2, "h2", term, entriesReport("e1"))
+	r.ApplyHostReport(2, "h2", term, entriesReport("e1"))
 	c.now = c.now.Add(3 * time.Second)
-	r.UpdateHost(2, "h2", term, &schema.HostNews{})
+	r.ApplyHostReport(2, "h2", term, &schema.HostNews{})
 	r.SweepHosts()
 	require.Equal(t, []string{"e1", "e2"}, directoryHosts(r))
 	c.now = c.now.Add(time.Second)
-	r.UpdateHost(2, "h2", term, &schema.HostNews{})
+	r.ApplyHostReport(2, "h2", term, &schema.HostNews{})
 	r.SweepHosts()
 	require.Equal(t, []string{"e1"}, directoryHosts(r))
 }
@@ -105,8 +105,8 @@
 	r.HostConnected(2, controlHost("h2"))
 	moved := entriesReport("e1")
 	moved.Entries[0].Stream, moved.Entries[0].Stopping = 2, true
-	r.UpdateHost(2, "h2", term, moved)
-	r.UpdateHost(1, "h1", term, entriesReport("e1"))
+	r.ApplyHostReport(2, "h2", term, moved)
+	r.ApplyHostReport(1, "h1", term, entriesReport("e1"))
 	require.Empty(t, directoryHosts(r))
 }
 
@@ -117,16 +117,16 @@
 	r, _ := newSettledRoster()
 	r.HostConnected(1, controlHost("h1"))
 	r.HostConnected(2, controlHost("h2"))
-	r.UpdateHost(1, "h1", term, entriesReport("e1", "e2"))
+	r.ApplyHostReport(1, "h1", term, entriesReport("e1", "e2"))
 	require.Equal(t, []string{"e1", "e2"}, directoryHosts(r))
 	_, change := r.ServersSince(0)
-	r.UpdateHost(2, "h2", term, entriesReport("e1"))
-	r.UpdateHost(1, "h1", term, entriesReport("e2"))
-	r.UpdateHost(2, "h2", term, entriesReport("e1", "e2"))
-	r.UpdateHost(1, "h1", term, entriesReport())
+	r.ApplyHostReport(2, "h2", term, entriesReport("e1"))
+	r.ApplyHostReport(1, "h1", term, entriesReport("e2"))
+	r.ApplyHostReport(2, "h2", term, entriesReport("e1", "e2"))
+	r.ApplyHostReport(1, "h1", term, entriesReport())
 	r.SweepHosts()
 	require.Nil(t, r.UpdateSince(change).GetEntries())
-	r.UpdateHost(2, "h2", term, entriesReport("e1"))
+	r.ApplyHostReport(2, "h2", term, entriesReport("e1"))
 	r.SweepHosts()
 	require.Len(t, r.UpdateSince(change).GetEntries().GetEntries(), 1)
 }
@@ -148,14 +148,14 @@
 func TestNewLeaderSendsNoListBeforeItIsComplete(t *testing.T) {
 	r, c := newRoster()
 	r.HostConnected(1, controlHost("h1"))
-	r.UpdateHost(1, "h1", term, entriesReport("e1"))
+	r.ApplyHostReport(1, "h1", term, entriesReport("e1"))
 	_, change := r.ServersSince(0)
 	require.Nil(t, r.UpdateSince(0).GetEntries())
 	require.Nil(t, r.UpdateSince(0).GetHosts())
 	r.SweepHosts()
 	require.Nil(t, r.UpdateSince(0).GetEntries())
 	c.now = c.now.Add(1100 * time.Millisecond)
-	r.UpdateHost(1, "h1", term, &schema.HostNews{})
+	r.ApplyHostReport(1, "h1", term, &schema.HostNews{})
 	r.SweepHosts()
 	// Hosts that have received all changes until then get the lists, too.
 	update := r.UpdateSince(change)
@@ -189,7 +189,7 @@
 		if model != "" {
 			report.Loads = []*schema.EngineLoad{{Server: "s", Models: []string{model}}}
 		}
-		r.UpdateHost(stream, host, term, report)
+		r.ApplyHostReport(stream, host, term, report)
 	}
 	load(1, "h1", "a")
 	load(2, "h2", "b")
@@ -220,8 +220,8 @@
 			synctest.Wait()
 			return done
 		}
-		r.UpdateHost(1, "h1", term, acknowledgement(change))
-		r.UpdateHost(2, "h2", term, acknowledgement(change-1, "e7"))
+		r.ApplyHostReport(1, "h1", term, acknowledgement(change))
+		r.ApplyHostReport(2, "h2", term, acknowledgement(change-1, "e7"))
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		require.ErrorContains(t, r.AwaitAcked(ctx, target), "h2 e7")
@@ -229,10 +229,10 @@
 		// changes.
 		other := acknowledgement(change + 9)
 		other.Known.Term = term - 1
-		r.UpdateHost(2, "h2", term, other)
+		r.ApplyHostReport(2, "h2", term, other)
 		done := await()
 		require.Empty(t, done)
-		r.UpdateHost(2, "h2", term, acknowledgement(change))
+		r.ApplyHostReport(2, "h2", term, acknowledgement(change))
 		require.NoError(t, <-done)
 
 		r.HostConnected(3, controlHost("h3"))
@@ -240,15 +240,15 @@
 		require.Empty(t, done)
 		lagging := acknowledgement(0)
 		lagging.Lagging = true
-		r.UpdateHost(3, "h3", term, lagging)
+		r.ApplyHostReport(3, "h3", term, lagging)
 		require.NoError(t, <-done)
 
-		r.UpdateHost(3, "h3", term, acknowledgement(0))
+		r.ApplyHostReport(3, "h3", term, acknowledgement(0))
 		done = await()
 		require.Empty(t, done)
 		c.now = c.now.Add(2 * time.Second)
-		r.UpdateHost(1, "h1", term, acknowledgement(change))
-		r.UpdateHost(2, "h2", term, acknowledgement(change))
+		r.ApplyHostReport(1, "h1", term, acknowledgement(change))
+		r.ApplyHostReport(2, "h2", term, acknowledgement(change))
 		r.SweepHosts()
 		require.NoError(t, <-done)
 	})
--- a/internal/routing/sender.go
+++ b/internal/routing/sender.go
@@ -131,8 +131,9 @@
 	return c.Conn.Write(b)
 }
 
-// Reply is a response whose header was received and whose body is still to be read.
-type Reply struct {
+// Response is a server's response whose header was received and whose body is still to be
+// read.
+type Response struct {
 	status int
 	header http.Header
 	body   io.ReadCloser
@@ -142,22 +143,22 @@
 }
 
 // Status returns the HTTP status.
-func (r *Reply) Status() int { return r.status }
+func (r *Response) Status() int { return r.status }
 
 // Header returns the response header.
-func (r *Reply) Header() http.Header { return r.header }
+func (r *Response) Header() http.Header { return r.header }
 
 // Body returns the response body.
-func (r *Reply) Body() io.Reader { return r.body }
+func (r *Response) Body() io.Reader { return r.body }
 
 // FirstByte returns the time from the call to the response header.
-func (r *Reply) FirstByte() time.Duration { return r.firstByte }
+func (r *Response) FirstByte() time.Duration { return r.firstByte }
 
 // NotRun reports whether the server declared that it did not run the request.
-func (r *Reply) NotRun() bool { return r.header.Get(HeaderOutcome) == outcomeNotRun }
+func (r *Response) NotRun() bool { return r.header.Get(HeaderOutcome) == outcomeNotRun }
 
 // Outstanding returns the number of requests that the server reports, or -1.
-func (r *Reply) Outstanding() int {
+func (r *Response) Outstanding() int {
 	n, err := strconv.Atoi(r.header.Get(HeaderOutstanding))
 	if err != nil || n < 0 {
 		return -1
@@ -166,7 +167,7 @@
 }
 
 // Close cancels the call and closes the body.
-func (r *Reply) Close() {
+func (r *Response) Close() {
 	r.cancel()
 	_ = r.body.Close()
 }
@@ -174,7 +175,7 @@
 // ReadAll reads a body of at most limit bytes. A body that ends early is an error
 // that wraps ErrIncomplete, a longer one an error that wraps ErrTooLarge: a
 // truncated response must not be taken for a complete one.
-func (r *Reply) ReadAll(limit int64) ([]byte, error) {
+func (r *Response) ReadAll(limit int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(r.body, limit+1))
 	if err != nil {
 		return nil, errors.Newf("read answer: %v: %w", err, ErrIncomplete)
@@ -187,7 +188,7 @@
 
 // Send makes a call and returns its response once the header is received. An error
 // that wraps ErrNotRun proves that the server did not run the request.
-func (s *Sender) Send(ctx context.Context, c Call) (*Reply, error) {
+func (s *Sender) Send(ctx context.Context, c Call) (*Response, error) {
 	start := time.Now()
 	ctx, cancel := context.WithCancelCause(ctx)
 	stop := func() { cancel(context.Canceled) }
@@ -220,7 +221,7 @@
 		client.CloseIdleConnections()
 		return nil, errors.Newf("asked %s, answered %s: %w", c.RequestID, id, ErrMismatchedResponse)
 	}
-	return &Reply{
+	return &Response{
 		status: resp.StatusCode, header: resp.Header, body: resp.Body,
 		cancel: stop, firstByte: time.Since(start),
 	}, nil
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -13,10 +13,10 @@
 // WeightStoreConfig configures a weight store.
 type WeightStoreConfig struct {
 	Listener net.Listener
-	// LoadsPerSecond limits the rate at which loads start. Up to FullSpeed concurrent loads run at
-	// MiBPerSecond each; more share the rate of FullSpeed loads.
+	// LoadsPerSecond limits the rate at which loads start. Up to FullSpeedLoads concurrent loads
+	// run at MiBPerSecond each; more share the rate of FullSpeedLoads loads.
 	LoadsPerSecond float64
-	FullSpeed      int
+	FullSpeedLoads int
 	MiBPerSecond   float64
 }
 
@@ -92,8 +92,8 @@
 	w.running++
 	w.loads++
 	rate := w.cfg.MiBPerSecond / w.slowdown
-	if w.running > w.cfg.FullSpeed {
-		rate = rate * float64(w.cfg.FullSpeed) / float64(w.running)
+	if w.running > w.cfg.FullSpeedLoads {
+		rate = rate * float64(w.cfg.FullSpeedLoads) / float64(w.running)
 	}
 	return start.Sub(now) + time.Duration(mib/rate*float64(time.Second))
 }
