--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -23,10 +23,10 @@
 	ErrNotSent = errors.New("the request was not sent")
 	// ErrInterrupted reports that the exchange failed after a byte may have been
 	// sent: the request may have been executed.
-	ErrInterrupted = errors.New("the exchange was interrupted")
+	ErrInterrupted = errors.New("the exchange broke off")
 	// ErrMismatchedResponse reports that the responses received are not for this
 	// request.
-	ErrMismatchedResponse = errors.New("the response belongs to another request")
+	ErrMismatchedResponse = errors.New("the answer belongs to another request")
 )
 
 const (
@@ -115,7 +115,7 @@
 		optionErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeoutOption, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
-		return errors.Newf("access socket: %w", err)
+		return errors.Newf("reach socket: %w", err)
 	}
 	return optionErr
 }
@@ -189,7 +189,7 @@
 			return &Response{Status: r.StatusCode, Header: r.Header, Body: body}, body, nil
 		}
 		if _, err = io.Copy(io.Discard, r.Body); err != nil {
-			return nil, nil, errors.Newf("discard mismatched response: %v: %w", err, ErrInterrupted)
+			return nil, nil, errors.Newf("pass over another answer: %v: %w", err, ErrInterrupted)
 		}
 	}
 	return nil, nil, ErrMismatchedResponse
@@ -200,7 +200,7 @@
 	for {
 		r, err := http.ReadResponse(in, &http.Request{Method: method})
 		if err != nil {
-			return nil, errors.Newf("read response: %v: %w", err, ErrInterrupted)
+			return nil, errors.Newf("read answer: %v: %w", err, ErrInterrupted)
 		}
 		if r.StatusCode >= http.StatusOK {
 			return r, nil
