--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -11,9 +11,9 @@
 	"fennelyard/internal/schema"
 )
 
-// announcementTTL is the time after which an entry removes a server that no longer
+// announcementRetention is the time after which an entry removes a server that no longer
 // announces itself here.
-const announcementTTL = 30 * time.Second
+const announcementRetention = 30 * time.Second
 
 type announcedServer struct {
 	announcement *schema.Announcement
@@ -89,7 +89,7 @@
 	var out []*schema.Announcement
 	for _, name := range slices.Sorted(maps.Keys(r.servers)) {
 		s := r.servers[name]
-		if now.Sub(s.receivedAt) > announcementTTL {
+		if now.Sub(s.receivedAt) > announcementRetention {
 			delete(r.servers, name)
 			continue
 		}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -29,10 +29,10 @@
 
 const (
 	// The timeouts prevent a few slow senders from occupying all connections.
-	headerTimeout  = 5 * time.Second
-	bodyTimeout    = 30 * time.Second
-	idleTimeout    = 60 * time.Second
-	maxHeaderBytes = 64 << 10
+	readHeaderTimeout = 5 * time.Second
+	bodyTimeout       = 30 * time.Second
+	idleTimeout       = 60 * time.Second
+	maxHeaderBytes    = 64 << 10
 	// drainMargin is added to the time for which callers cache directory
 	// responses.
 	drainMargin = time.Second
@@ -164,7 +164,7 @@
 
 func (e *Entry) serve(l net.Listener, routes *echo.Echo) {
 	s := &http.Server{
-		Handler: routes, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
+		Handler: routes, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeaderBytes,
 	}
 	e.httpServers = append(e.httpServers, s)
--- a/internal/entry/model.go
+++ b/internal/entry/model.go
@@ -141,26 +141,26 @@
 	call := e.call(ctx, c.Request(), in, chosen)
 	call.NewConnection = a.newConnection
 	call.SilenceTimeout = max(minSilenceTimeout, silenceTimeoutServiceTimes*e.admission.MeanServiceTime(in.target.name))
-	reply, err := e.sender.Send(ctx, call)
+	response, err := e.sender.Send(ctx, call)
 	if err != nil {
 		a.recordResult(chosen, routing.Result{OK: ctx.Err() != nil, Reported: -1})
 		e.reportFailedAttempt(ctx, in, chosen, err)
 		return a.handleFailure(ctx, chosen, err)
 	}
-	defer reply.Close()
-	if reply.NotRun() {
-		a.recordResult(chosen, routing.Result{OK: true, Reported: reply.Outstanding()})
+	defer response.Close()
+	if response.NotRun() {
+		a.recordResult(chosen, routing.Result{OK: true, Reported: response.Outstanding()})
 		a.exclude[chosen.Server] = true
 		return ctx.Err() != nil, false, refusal.New(refusal.DeadlinePassed, "the deadline passed between two attempts")
 	}
-	if reply.Status() >= http.StatusInternalServerError {
-		a.recordResult(chosen, routing.Result{Reported: reply.Outstanding()})
-		return a.handleFailure(ctx, chosen, errors.Newf("status %d", reply.Status()))
+	if response.Status() >= http.StatusInternalServerError {
+		a.recordResult(chosen, routing.Result{Reported: response.Outstanding()})
+		return a.handleFailure(ctx, chosen, errors.Newf("status %d", response.Status()))
 	}
 	if a.stream {
-		return a.forwardStream(ctx, c, chosen, call, reply)
+		return a.forwardStream(ctx, c, chosen, call, response)
 	}
-	return a.forwardResponse(ctx, c, chosen, reply)
+	return a.forwardResponse(ctx, c, chosen, response)
 }
 
 func (a *attempts) pickReplica() (routing.Candidate, bool) {
@@ -217,22 +217,22 @@
 
 // forwardResponse buffers a response until it is complete, so that a request with a
 // truncated response can be retried and no caller receives a part of one.
-func (a *attempts) forwardResponse(ctx context.Context, c echo.Context, chosen routing.Candidate, reply *routing.Response) (finished, served bool, r *refusal.Refusal) {
-	body, err := reply.ReadAll(maxResponseBytes)
-	if err == nil && reply.Status() == http.StatusOK && !json.Valid(body) {
+func (a *attempts) forwardResponse(ctx context.Context, c echo.Context, chosen routing.Candidate, response *routing.Response) (finished, served bool, r *refusal.Refusal) {
+	body, err := response.ReadAll(maxResponseBytes)
+	if err == nil && response.Status() == http.StatusOK && !json.Valid(body) {
 		err = errors.Newf("not JSON: %w", routing.ErrIncomplete)
 	}
-	a.recordResult(chosen, routing.Result{OK: err == nil || ctx.Err() != nil, FirstByte: reply.FirstByte(), Reported: reply.Outstanding()})
+	a.recordResult(chosen, routing.Result{OK: err == nil || ctx.Err() != nil, FirstByte: response.FirstByte(), Reported: response.Outstanding()})
 	if err != nil {
 		a.e.reportFailedAttempt(ctx, a.in, chosen, err)
 		return a.handleFailure(ctx, chosen, err)
 	}
 	a.e.guard.AttemptCompleted(a.in.keyedRequest())
 	a.e.cfg.Metrics.FirstByte(a.in.kind, time.Since(a.in.received), a.cold)
-	copyHeader(c.Response().Header(), reply.Header())
+	copyHeader(c.Response().Header(), response.Header())
 	c.Response().Header().Set(routing.HeaderRequestID, a.in.id)
 	// The request is served even if its caller has disconnected.
-	_ = c.Blob(reply.Status(), reply.Header().Get("Content-Type"), body)
+	_ = c.Blob(response.Status(), response.Header().Get("Content-Type"), body)
 	return true, true, nil
 }
 
--- a/internal/entry/service.go
+++ b/internal/entry/service.go
@@ -223,7 +223,7 @@
 	defer span.End()
 	call := e.call(ctx, r.request, r.in, to)
 	call.NewConnection = true
-	reply, err := e.sender.Send(ctx, call)
+	response, err := e.sender.Send(ctx, call)
 	if err != nil {
 		e.table.RecordResult(time.Now(), to, r.in.target.name, r.in.body, routing.Result{Reported: -1})
 		e.reportFailedAttempt(ctx, r.in, to, err)
@@ -232,14 +232,14 @@
 		}
 		return refusal.Unknown, nil, err
 	}
-	defer reply.Close()
-	if reply.NotRun() {
-		e.table.RecordResult(time.Now(), to, r.in.target.name, r.in.body, routing.Result{OK: true, Reported: reply.Outstanding()})
+	defer response.Close()
+	if response.NotRun() {
+		e.table.RecordResult(time.Now(), to, r.in.target.name, r.in.body, routing.Result{OK: true, Reported: response.Outstanding()})
 		return refusal.NotRun, nil, nil
 	}
-	body, err := reply.ReadAll(maxResponseBytes)
+	body, err := response.ReadAll(maxResponseBytes)
 	e.table.RecordResult(time.Now(), to, r.in.target.name, r.in.body, routing.Result{
-		OK: err == nil, FirstByte: reply.FirstByte(), Reported: reply.Outstanding(),
+		OK: err == nil, FirstByte: response.FirstByte(), Reported: response.Outstanding(),
 	})
 	if err != nil {
 		e.reportFailedAttempt(ctx, r.in, to, err)
@@ -249,7 +249,7 @@
 	}
 	e.guard.AttemptCompleted(r.in.keyedRequest())
 	return refusal.Ran, &schema.Answer{
-		Status: uint32(reply.Status()), ContentType: reply.Header().Get("Content-Type"), Body: body,
+		Status: uint32(response.Status()), ContentType: response.Header().Get("Content-Type"), Body: body,
 	}, nil
 }
 
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -74,10 +74,10 @@
 // forwardStream forwards events as they arrive. After the first event there is no
 // other attempt; a stream with numbered events is resumed at the same server.
 func (a *attempts) forwardStream(ctx context.Context, c echo.Context, chosen routing.Candidate, call routing.Call,
-	reply *routing.Response,
+	response *routing.Response,
 ) (finished, served bool, r *refusal.Refusal) {
 	s := &streamForwarder{a: a, c: c}
-	err := s.forward(ctx, reply)
+	err := s.forward(ctx, response)
 	if err != nil {
 		a.e.reportFailedAttempt(ctx, a.in, chosen, err)
 	}
@@ -85,7 +85,7 @@
 		err = s.resume(ctx, call)
 	}
 	a.recordResult(chosen, routing.Result{
-		OK: err == nil || ctx.Err() != nil, FirstByte: reply.FirstByte(), Reported: reply.Outstanding(),
+		OK: err == nil || ctx.Err() != nil, FirstByte: response.FirstByte(), Reported: response.Outstanding(),
 	})
 	if err == nil {
 		a.e.guard.AttemptCompleted(a.in.keyedRequest())
@@ -110,10 +110,10 @@
 
 // forward forwards events and returns nil only after the end marker. A connection
 // that closes regularly before it is an interrupted stream.
-func (s *streamForwarder) forward(ctx context.Context, reply *routing.Response) error {
-	silence := time.AfterFunc(streamSilenceTimeout, reply.Close)
+func (s *streamForwarder) forward(ctx context.Context, response *routing.Response) error {
+	silence := time.AfterFunc(streamSilenceTimeout, response.Close)
 	defer silence.Stop()
-	r := bufio.NewReaderSize(reply.Body(), maxEventBytes)
+	r := bufio.NewReaderSize(response.Body(), maxEventBytes)
 	for {
 		ev, err := readEvent(r)
 		if err != nil {
@@ -129,21 +129,21 @@
 		if ctx.Err() != nil {
 			return errors.Newf("pass stream: %w", ctx.Err())
 		}
-		s.forwardEvent(reply, ev)
+		s.forwardEvent(response, ev)
 		if bytes.Equal(ev.data, doneMarker) {
 			return nil
 		}
 	}
 }
 
-func (s *streamForwarder) forwardEvent(reply *routing.Response, ev event) {
+func (s *streamForwarder) forwardEvent(response *routing.Response, ev event) {
 	w := s.c.Response()
 	if !s.started {
 		s.started = true
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.Header().Set("Cache-Control", "no-store")
 		w.Header().Set(routing.HeaderRequestID, s.a.in.id)
-		w.WriteHeader(reply.Status())
+		w.WriteHeader(response.Status())
 		s.a.e.cfg.Metrics.FirstByte(s.a.in.kind, time.Since(s.a.in.received), s.a.cold)
 	}
 	s.lastID = max(s.lastID, ev.id)
@@ -157,15 +157,15 @@
 	call.Header = call.Header.Clone()
 	call.Header.Set("Last-Event-ID", strconv.FormatUint(s.lastID, 10))
 	call.NewConnection = true
-	reply, err := s.a.e.sender.Send(ctx, call)
+	response, err := s.a.e.sender.Send(ctx, call)
 	if err != nil {
 		return errors.Newf("resume: %w", err)
 	}
-	defer reply.Close()
-	if reply.Status() != http.StatusOK || reply.NotRun() {
-		return errors.Newf("resume: status %d", reply.Status())
+	defer response.Close()
+	if response.Status() != http.StatusOK || response.NotRun() {
+		return errors.Newf("resume: status %d", response.Status())
 	}
-	return s.forward(ctx, reply)
+	return s.forward(ctx, response)
 }
 
 // writeError ends a stream that cannot be completed with an error event: without it
--- a/internal/gateway/access.go
+++ b/internal/gateway/access.go
@@ -39,7 +39,7 @@
 	confirmed := now.Sub(x.g.subscriber.confirmedAt()) < maxConfirmationAge
 	retryAfter, ok := x.g.quotas.Admit(team, cost, confirmed, x.g.entryCount(), now)
 	if !ok {
-		x.reject(http.StatusTooManyRequests, OutcomeOverQuota, retryAfter)
+		x.refuse(http.StatusTooManyRequests, OutcomeOverQuota, retryAfter)
 		return false
 	}
 	x.access.cost = cost
--- a/internal/gateway/access_test.go
+++ b/internal/gateway/access_test.go
@@ -70,7 +70,7 @@
 }
 
 // TestAPIKeys checks which requests run by key, route and age of the configuration's
-// confirmation. A rejected request reaches no server.
+// confirmation. A refused request reaches no server.
 func TestAPIKeys(t *testing.T) {
 	for name, test := range map[string]struct {
 		path, key       string
--- a/internal/gateway/backlog.go
+++ b/internal/gateway/backlog.go
@@ -29,19 +29,19 @@
 // Without this limit the pending prefill at the busiest engines grew to ten seconds: nearly all
 // of it was for callers that had disconnected or were about to, and every second request of the
 // model failed. With 1.5 times the demand that three engines can process and no limit, 27 of
-// 378 requests were served in time and 164 late; TestBacklogRejectionUnderOverload checks the
+// 378 requests were served in time and 164 late; TestBacklogRefusalUnderOverload checks the
 // result with the limit.
 func (b backlog) exceeds(aim time.Duration) bool {
 	minimum := time.Duration(minBacklogShare * float64(aim))
 	return aim > 0 && b.waits && b.queued > max(aim-b.own, minimum)
 }
 
-// rejectedByBacklog rejects a request at once if its engine, the best one available, has so
+// refusedByBacklog refuses a request at once if its engine, the best one available, has so
 // much pending prefill that the response would be late or never start; the request would also
 // delay those behind it. The Retry-After is the time until the queued prefill should have shrunk
 // to half of the aim, about half of what a request may wait for, plus a random delay, so that
 // the callers don't all return at the same time.
-func (x *exchange) rejectedByBacklog() bool {
+func (x *exchange) refusedByBacklog() bool {
 	if x.info.Model == "" || x.runs > 0 {
 		return false
 	}
--- a/internal/gateway/backlog_test.go
+++ b/internal/gateway/backlog_test.go
@@ -19,11 +19,11 @@
 	prefillRate       float64
 	arrivalIntervalMs int
 	aim               time.Duration
-	// rejects is set if requests are rejected whose engine has too large a backlog.
-	rejects bool
+	// refuses is set if requests are refused whose engine has too large a backlog.
+	refuses bool
 
-	queues                            map[string][]*queuedRequest
-	inTime, late, abandoned, rejected int
+	queues                           map[string][]*queuedRequest
+	inTime, late, abandoned, refused int
 }
 
 type queuedRequest struct {
@@ -54,8 +54,8 @@
 
 func (o *overloadSimulation) arrive(nowMs int) {
 	info := &gateway.RequestInfo{Model: "m", PromptTokens: int(overloadPromptTokens * o.prefillRate / 38)}
-	if o.rejects && o.engines.ExceedsBacklog(info, o.aim) {
-		o.rejected++
+	if o.refuses && o.engines.ExceedsBacklog(info, o.aim) {
+		o.refused++
 		return
 	}
 	id := o.engines.Send(info)
@@ -97,21 +97,21 @@
 }
 
 // The engines that have a model can process two thirds of the demand for it. Without
-// rejections, requests wait for nearly as long as their callers stay, and hardly one is served
-// in time. With requests rejected at once where the engine's backlog is too large, as many are
+// refusals, requests wait for nearly as long as their callers stay, and hardly one is served
+// in time. With requests refused at once where the engine's backlog is too large, as many are
 // served, most of them in time and at any engine speed, and no caller disconnects without a
 // response after a wait.
-func TestBacklogRejectionUnderOverload(t *testing.T) {
+func TestBacklogRefusalUnderOverload(t *testing.T) {
 	for _, speed := range []float64{1. / 3, 1, 3} {
 		t.Run(fmt.Sprint(speed), func(t *testing.T) {
-			simulate := func(rejects bool) *overloadSimulation {
-				simulation := &overloadSimulation{engines: gateway.NewEngines(3), prefillRate: 38 * speed, arrivalIntervalMs: 53, aim: time.Second, rejects: rejects}
+			simulate := func(refuses bool) *overloadSimulation {
+				simulation := &overloadSimulation{engines: gateway.NewEngines(3), prefillRate: 38 * speed, arrivalIntervalMs: 53, aim: time.Second, refuses: refuses}
 				simulation.run()
 				return simulation
 			}
 			unlimited, limited := simulate(false), simulate(true)
-			t.Logf("on time, late, abandoned, rejected: %d %d %d %d without a limit, %d %d %d %d with it",
-				unlimited.inTime, unlimited.late, unlimited.abandoned, unlimited.rejected, limited.inTime, limited.late, limited.abandoned, limited.rejected)
+			t.Logf("on time, late, abandoned, refused: %d %d %d %d without a limit, %d %d %d %d with it",
+				unlimited.inTime, unlimited.late, unlimited.abandoned, unlimited.refused, limited.inTime, limited.late, limited.abandoned, limited.refused)
 			served := unlimited.inTime + unlimited.late
 			require.Less(t, unlimited.inTime, served/3)
 			require.GreaterOrEqual(t, limited.inTime+limited.late, served*9/10)
@@ -121,7 +121,7 @@
 	}
 }
 
-// Engines with a small backlog reject no request, and a short prompt does not wait for long
+// Engines with a small backlog refuse no request, and a short prompt does not wait for long
 // ones.
 func TestBacklogAcceptsRequestsServedInTime(t *testing.T) {
 	e := gateway.NewEngines(1)
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -122,11 +122,11 @@
 		x.table = x.awaitTable()
 	}
 	if x.table == nil {
-		x.reject(http.StatusServiceUnavailable, OutcomeNoConfig, defaultRetryAfter)
+		x.refuse(http.StatusServiceUnavailable, OutcomeNoConfig, defaultRetryAfter)
 		return false
 	}
 	if x.route = x.table.match(x.r.Host, x.r.URL.Path); x.route == nil {
-		x.reject(http.StatusNotFound, OutcomeNoRoute, 0)
+		x.refuse(http.StatusNotFound, OutcomeNoRoute, 0)
 		return false
 	}
 	return x.authorize() && x.readBody()
@@ -142,12 +142,12 @@
 	if x.body == nil {
 		// Reading one byte over the limit detects a body that is too long.
 		if x.body, x.cause = io.ReadAll(io.LimitReader(x.r.Body, limit+1)); x.cause != nil {
-			x.reject(http.StatusBadRequest, OutcomeBadBody, 0)
+			x.refuse(http.StatusBadRequest, OutcomeBadBody, 0)
 			return false
 		}
 	}
 	if int64(len(x.body)) > limit {
-		x.reject(http.StatusRequestEntityTooLarge, OutcomeBadBody, 0)
+		x.refuse(http.StatusRequestEntityTooLarge, OutcomeBadBody, 0)
 		return false
 	}
 	return true
@@ -155,8 +155,8 @@
 
 // awaitTable returns the current route table, nil if there is none. A request at a newly
 // started entry waits for the first configuration: it arrives as soon as the control group has
-// a leader, and a caller that is rejected with a Retry-After in the meantime is mostly rejected
-// again. If there is still none startupWait after the start, requests are rejected at once: the
+// a leader, and a caller that is refused with a Retry-After in the meantime is mostly refused
+// again. If there is still none startupWait after the start, requests are refused at once: the
 // entry is partitioned from the group and cannot know when a configuration will arrive.
 func (x *exchange) awaitTable() *routeTable {
 	if t := x.g.table.Load(); t != nil {
@@ -192,7 +192,7 @@
 	defer cancel()
 	defer context.AfterFunc(x.g.aborted, cancel)()
 	x.ctx = ctx
-	if x.rejectedByQuarantine() {
+	if x.refusedByQuarantine() {
 		return
 	}
 	x.pool = pickPool(x.route, x.random)
@@ -209,7 +209,7 @@
 // tryNext makes one attempt and reports whether another one should follow.
 func (x *exchange) tryNext() bool {
 	x.g.guard.AwaitProbes(x.ctx, x.keyedRequest())
-	if !x.findServer() || x.rejectedByQuarantine() {
+	if !x.findServer() || x.refusedByQuarantine() {
 		return false
 	}
 	if x.attempts > 0 && !x.retryReserved && !x.g.retryBudget(x.pool).withdraw(time.Now(), x.g.entryCount()) {
@@ -237,7 +237,7 @@
 			if x.info.Model == "" && !x.fitsDeadline() {
 				return false
 			}
-			return !x.rejectedByBacklog()
+			return !x.refusedByBacklog()
 		}
 		if x.info.Model == "" {
 			x.fail(OutcomeNoServer, defaultRetryAfter)
@@ -414,11 +414,11 @@
 	case x.runs > 0:
 		status = http.StatusBadGateway
 	}
-	x.reject(status, outcome, retryAfter)
+	x.refuse(status, outcome, retryAfter)
 }
 
-// reject writes an error response of the entry itself.
-func (x *exchange) reject(status int, outcome Outcome, retryAfter time.Duration) {
+// refuse writes an error response of the entry itself.
+func (x *exchange) refuse(status int, outcome Outcome, retryAfter time.Duration) {
 	x.status, x.outcome = status, outcome
 	h := x.w.Header()
 	if retryAfter > 0 && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests) {
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -234,7 +234,7 @@
 	return ok
 }
 
-// ExceedsBacklog reports whether a request with an aim is rejected because the engine that it
+// ExceedsBacklog reports whether a request with an aim is refused because the engine that it
 // would be sent to has too large a backlog.
 func (e *Engines) ExceedsBacklog(info *RequestInfo, aim time.Duration) bool {
 	return e.f.backlog(e.f.choose("p", info, nil, time.Now(), e.random), info).exceeds(aim)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -101,7 +101,7 @@
 }
 
 // add adds a server and removes its earlier incarnations: their models and caches are gone, and
-// a leader that never knew them does not report their end. The caller holds mu.
+// a leader without a record of them does not report their end. The caller holds mu.
 func (f *fleet) add(s *server) {
 	if f.incarnations[s.server] > 0 {
 		startMs := incarnation.Parse(s.id).StartMs
@@ -301,7 +301,7 @@
 	s.consecutiveFailures++
 }
 
-// markAbsent records that a server rejected a request because it does not have the model or
+// markAbsent records that a server refused a request because it does not have the model or
 // adapter.
 func (f *fleet) markAbsent(s *server, model, adapter string, now time.Time) {
 	f.mu.Lock()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -88,7 +88,7 @@
 	latencies    map[string]*latency
 }
 
-// New starts a gateway. It rejects requests until it has a configuration.
+// New starts a gateway. It refuses requests until it has a configuration.
 func New(cfg Config) *Gateway {
 	g := &Gateway{
 		cfg: cfg, fleet: newFleet(), demand: newDemandTracker(), startTime: time.Now(), configured: make(chan struct{}),
@@ -114,7 +114,7 @@
 
 // StartDraining reports to the leader, and through it to all entries, that callers must no
 // longer be sent here. Requests are still served, but none is forwarded to a server after
-// sendDeadline: requests that still wait then are rejected as not run, so that another entry
+// sendDeadline: requests that still wait then are refused as not run, so that another entry
 // can serve them.
 func (g *Gateway) StartDraining(sendDeadline time.Time) {
 	g.sendDeadline.Store(&sendDeadline)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -327,9 +327,9 @@
 	require.NotContains(t, got.body, "e4")
 }
 
-// No server has the model and there is no forecast of a leader: the request is rejected as not
+// No server has the model and there is no forecast of a leader: the request is refused as not
 // run, with a Retry-After, and reaches no server.
-func TestUnavailableModelIsRejected(t *testing.T) {
+func TestUnavailableModelIsRefused(t *testing.T) {
 	a := newBackend(t, respondOK)
 	got := newTestGateway(t, a).call(t, "/once/x", "body", "other")
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
--- a/internal/gateway/hosts.go
+++ b/internal/gateway/hosts.go
@@ -9,7 +9,7 @@
 	"fennelyard/internal/schema"
 )
 
-// avoidDuration is how long a control host that was silent or rejected this entry is tried only
+// avoidDuration is how long a control host that was silent or refused this entry is tried only
 // after all others. A host that restarts is back within a second or two.
 const avoidDuration = 2 * time.Second
 
@@ -23,7 +23,7 @@
 	seeds     func() []string
 	members   []string
 	followers []*schema.ControlHost
-	// hint is a host that another host named in its rejection, empty for none.
+	// hint is a host that another host named in its refusal, empty for none.
 	hint string
 	// avoided holds by address until when a host is avoided.
 	avoided map[string]time.Time
--- a/internal/gateway/incarnation_test.go
+++ b/internal/gateway/incarnation_test.go
@@ -19,8 +19,8 @@
 
 // An engine ends and restarts with its id at another address and without models. The leader
 // that reports it never knew the earlier incarnation and does not report its end. Requests for
-// the earlier models must be sent to neither: the new incarnation rejects them, and each
-// rejection costs the caller an attempt.
+// the earlier models must be sent to neither: the new incarnation refuses them, and each
+// refusal costs the caller an attempt.
 func TestRestartedEngineHasNoModels(t *testing.T) {
 	const ready, gone = schema.RosterState_ROSTER_STATE_READY, schema.RosterState_ROSTER_STATE_GONE
 	m, n := &gateway.RequestInfo{Model: "m"}, &gateway.RequestInfo{Model: "n"}
@@ -42,7 +42,7 @@
 	require.False(t, e.HasEngine(n))
 }
 
-// What an entry remembers of an engine belongs to one incarnation: its cached prompt parts are
+// What an entry stores about an engine belongs to one incarnation: its cached prompt parts are
 // lost on a restart. If they still counted, the entry would not expect their prefill at the new
 // incarnation, and the responses there would start late.
 func TestPromptPartsBelongToOneIncarnation(t *testing.T) {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -27,10 +27,10 @@
 	x.g.guard.AttemptFailed(x.keyedRequest(), s.id, s.address)
 }
 
-// rejectedByQuarantine rejects at once a request that is known to end the servers that run it.
+// refusedByQuarantine refuses at once a request that is known to end the servers that run it.
 // Another attempt would fail in the same way and would interrupt all requests that run beside
 // it.
-func (x *exchange) rejectedByQuarantine() bool {
+func (x *exchange) refusedByQuarantine() bool {
 	retryAfter, quarantined := x.g.guard.HeldBack(x.keyedRequest())
 	if quarantined {
 		x.fail(OutcomeHeldBack, retryAfter)
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -64,7 +64,7 @@
 }
 
 // Three servers end while they run the same request at one entry. Its fourth attempt is
-// rejected at once as not run, with a Retry-After, and reaches no server. A request with
+// refused at once as not run, with a Retry-After, and reaches no server. A request with
 // another body is served.
 func TestHarmfulRequestIsQuarantined(t *testing.T) {
 	var servers []*backend
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -13,7 +13,7 @@
 	// return.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 4 * time.Second
-	// absentDuration is how long a server that rejected a request for lack of a model or adapter
+	// absentDuration is how long a server that refused a request for lack of a model or adapter
 	// is not chosen for it; the leader's update arrives within milliseconds.
 	absentDuration = 60 * time.Millisecond
 	// maxPromptParts is the number of prompt parts remembered per server: an engine's cache of
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -24,10 +24,10 @@
 }
 
 // A caller waits for a model that no server has loaded while its entry is draining. Nothing was
-// sent, and the process ends before the caller's deadline: the request is rejected as not run,
+// sent, and the process ends before the caller's deadline: the request is refused as not run,
 // with a Retry-After for another entry, instead of its connection being closed without a
 // response.
-func TestStoppingEntryRejectsWaitingRequests(t *testing.T) {
+func TestStoppingEntryRefusesWaitingRequests(t *testing.T) {
 	tg := newTestGateway(t, newBackend(t, respondOK))
 	got := make(chan result, 1)
 	go func() { got <- tg.call(t, "/events/x", "body", "rare") }()
--- a/internal/gateway/subscriber.go
+++ b/internal/gateway/subscriber.go
@@ -44,7 +44,7 @@
 	minHostRetryInterval = 50 * time.Millisecond
 	maxRetryDoublings    = 3
 	maxHostRetryInterval = 400 * time.Millisecond
-	// refusedRetryInterval is the time before the next host is tried after a rejection, which has
+	// refusedRetryInterval is the time before the next host is tried after a refusal, which has
 	// already delayed this entry by a round trip.
 	refusedRetryInterval = 10 * time.Millisecond
 	// maxMoveDelay is the interval over which entries that prefer another host spread their moves,
@@ -236,7 +236,7 @@
 		}
 		silenceTimer.Reset(hostSilenceTimeout)
 		if update.GetNotLeader() {
-			s.applyRejection(update)
+			s.applyRefusal(update)
 			return errNoLeaderUpdates
 		}
 		if update.GetWait() {
@@ -264,8 +264,8 @@
 		"leader-age-ms", update.GetLeaderAgeMs(), "whole", update.GetWhole())
 }
 
-// applyRejection applies the addresses in the rejection of a host without leader updates.
-func (s *subscriber) applyRejection(update *schema.LeaderNews) {
+// applyRefusal applies the addresses in the refusal of a host without leader updates.
+func (s *subscriber) applyRefusal(update *schema.LeaderNews) {
 	if members := update.GetControlAddresses(); len(members) > 0 {
 		s.hosts.members = members
 	}
--- a/internal/gateway/subscriber_test.go
+++ b/internal/gateway/subscriber_test.go
@@ -72,7 +72,7 @@
 	g.Close()
 }
 
-// The first host rejects the entry and names the leader, which is not a seed. The entry
+// The first host refuses the entry and names the leader, which is not a seed. The entry
 // subscribes there.
 func TestEntryFollowsLeaderHint(t *testing.T) {
 	leader := newControlHost(t, sendUpdates)
--- a/internal/gateway/waiting.go
+++ b/internal/gateway/waiting.go
@@ -17,7 +17,7 @@
 	forecastRecheckInterval = 50 * time.Millisecond
 )
 
-// awaitServer waits for a change that may make the model available. It rejects the request as
+// awaitServer waits for a change that may make the model available. It refuses the request as
 // soon as the leader's forecast shows that the model will not be loaded in time.
 func (x *exchange) awaitServer(changed <-chan struct{}) bool {
 	t := x.target()
@@ -123,7 +123,7 @@
 	l.mean += (took - l.mean) / latencySamples
 }
 
-// retryAfter returns the Retry-After of a rejected request: by then the current requests should
+// retryAfter returns the Retry-After of a refused request: by then the current requests should
 // have been served.
 func (l *latency) retryAfter() time.Duration {
 	l.mu.Lock()
@@ -139,7 +139,7 @@
 }
 
 // fitsDeadline reports whether a request to a plain service can be served before its deadline,
-// by the load of this entry taken as its share of the load of all entries. Otherwise it rejects
+// by the load of this entry taken as its share of the load of all entries. Otherwise it refuses
 // the request at once, as the request would only lengthen a queue that is served too late.
 func (x *exchange) fitsDeadline() bool {
 	running, slots := x.g.fleet.poolUsage(x.pool)
--- a/internal/ledger/validation.go
+++ b/internal/ledger/validation.go
@@ -9,8 +9,8 @@
 	"fennelyard/internal/schema"
 )
 
-// maxNameLength is the maximum length in bytes of a name set by an operator.
-const maxNameLength = 128
+// maxNameBytes is the maximum length in bytes of a name set by an operator.
+const maxNameBytes = 128
 
 // validateIntent returns why an intent can't be planned, or "". An operator must get the
 // reason before anything is confirmed.
@@ -46,8 +46,8 @@
 	if name == "" {
 		return kind + " name is missing"
 	}
-	if len(name) > maxNameLength || strings.ContainsAny(name, "/ \t\r\n\x00") {
-		return fmt.Sprintf("%s name %q: at most %d characters, without spaces and slashes", kind, name, maxNameLength)
+	if len(name) > maxNameBytes || strings.ContainsAny(name, "/ \t\r\n\x00") {
+		return fmt.Sprintf("%s name %q: at most %d characters, without spaces and slashes", kind, name, maxNameBytes)
 	}
 	return ""
 }
--- a/internal/loading/driver.go
+++ b/internal/loading/driver.go
@@ -19,25 +19,25 @@
 	// roundPausePerEngine is the pause after a round for each engine. It bounds the cost of
 	// rounds, however many announcements and reports arrive.
 	roundPausePerEngine = 500 * time.Microsecond
-	// confirmationMaxAge is how long an order holder relies on the leader's confirmation of the
+	// maxConfirmationAge is how long an order holder relies on the leader's confirmation of the
 	// current term and holder. A host that was frozen in between sends its order within a moment
 	// of its resumption, and engines rely on getting no order of an old holder after that. One
 	// confirmation serves a burst of orders.
-	confirmationMaxAge = 250 * time.Millisecond
+	maxConfirmationAge = 250 * time.Millisecond
 	// confirmationTimeout is how long to wait for the leader's confirmation. It takes a leader
 	// with a burst of orders for a whole fleet some hundred milliseconds; orders whose
 	// confirmation timed out are sent again, and cost it more work than those that go through.
 	confirmationTimeout = 400 * time.Millisecond
-	// LeadershipProofMaxAge is the maximal age of the quorum's confirmation of a leader when the
+	// MaxLeadershipProofAge is the maximal age of the quorum's confirmation of a leader when the
 	// leader confirms its term to an order holder. A round of the group for each order would
 	// cost the leader of a large fleet more than all its other work.
-	LeadershipProofMaxAge = 150 * time.Millisecond
+	MaxLeadershipProofAge = 150 * time.Millisecond
 	// leaseMargin is added to the pause between the orders of two holders. The last order of the
-	// old holder arrives within the sum of LeadershipProofMaxAge, the longer of
-	// confirmationTimeout and confirmationMaxAge, for which its confirmation was valid, and
+	// old holder arrives within the sum of MaxLeadershipProofAge, the longer of
+	// confirmationTimeout and maxConfirmationAge, for which its confirmation was valid, and
 	// orderTimeout, after which its connection is reset; the rest is for the network delay in
 	// between.
-	leaseMargin = LeadershipProofMaxAge + max(confirmationTimeout, confirmationMaxAge) + orderTimeout + 50*time.Millisecond
+	leaseMargin = MaxLeadershipProofAge + max(confirmationTimeout, maxConfirmationAge) + orderTimeout + 50*time.Millisecond
 	// An order holder is replaced after it has failed to send orders holderFailureAttempts times
 	// over holderFailureTimeout: a host restarts within a second. The limits for an engine that
 	// does not reply to its holder are higher: most often the engine is gone or slow, and
@@ -68,9 +68,9 @@
 	// such a host 0.05 of a core, and a fleet of 24 engines is queried at once.
 	maxConcurrentQueries = 24
 	querySlotTime        = 300 * time.Millisecond
-	// announcementMaxLag is how long after an order announcements are not compared with the
+	// maxAnnouncementLag is how long after an order announcements are not compared with the
 	// known state: most are less old than that when they arrive.
-	announcementMaxLag = 1500 * time.Millisecond
+	maxAnnouncementLag = 1500 * time.Millisecond
 	// firstTerm is the term of a group's first leader: no earlier leader can have sent orders.
 	firstTerm = 1
 	// holderRetention is how long a leader keeps the recorded order holders of engines that
@@ -224,7 +224,7 @@
 		// number of orders taken before it. An order that combines the number from a report
 		// with the models and adapters from an older announcement is not refused, and crashes
 		// an engine that has no room for its load. A report has both as of one moment.
-		if receivedAt.Sub(e.changedAt) > announcementMaxLag && !e.loadedMatches(a.Loaded) {
+		if receivedAt.Sub(e.changedAt) > maxAnnouncementLag && !e.loadedMatches(a.Loaded) {
 			d.cfg.Log.Info("engine announces other models", "server", e.id, "sequence", a.Sequence,
 				"announced", modelNames(a.Loaded), "believed", modelNames(e.routableModels()))
 			e.phase = phaseUnknown
--- a/internal/loading/engine.go
+++ b/internal/loading/engine.go
@@ -9,7 +9,7 @@
 	"fennelyard/internal/schema"
 )
 
-// phase is how much the leader knows of an engine and its order.
+// phase describes which facts the leader has about an engine and its order.
 type phase int
 
 const (
--- a/internal/loading/late.go
+++ b/internal/loading/late.go
@@ -7,9 +7,9 @@
 	"fennelyard/internal/incarnation"
 )
 
-// orderMaxDelay is how long after an order was sent it may still be executed: engines take up
+// maxOrderDelay is how long after an order was sent it may still be executed: engines take up
 // to 12 s over one whose reply is lost, and sending may take orderTimeout.
-const orderMaxDelay = 12*time.Second + orderTimeout
+const maxOrderDelay = 12*time.Second + orderTimeout
 
 // sentLoad is a load with an unknown outcome. An engine checks an order against the number of
 // orders that it has taken. That number restarts with each incarnation under the same id, so an
@@ -23,7 +23,7 @@
 
 // dropExpired removes the loads that can no longer be executed.
 func dropExpired(loads []sentLoad, now time.Time) []sentLoad {
-	return slices.DeleteFunc(loads, func(l sentLoad) bool { return now.Sub(l.at) > orderMaxDelay })
+	return slices.DeleteFunc(loads, func(l sentLoad) bool { return now.Sub(l.at) > maxOrderDelay })
 }
 
 // recordUnconfirmed records that the order in progress may still be executed, whatever becomes
@@ -82,7 +82,7 @@
 		}
 	}
 	if d.mayReceiveEarlierOrders(e, now) {
-		e.earlierOrdersUntil = d.leaderSince.Add(orderMaxDelay)
+		e.earlierOrdersUntil = d.leaderSince.Add(maxOrderDelay)
 	}
 	if len(e.lateLoads) > 0 || !e.earlierOrdersUntil.IsZero() {
 		d.cfg.Log.Info("late orders possible", "server", e.id, "loads", len(e.lateLoads), "unheard", !e.earlierOrdersUntil.IsZero())
@@ -98,10 +98,10 @@
 // known, nor whether there was such an incarnation: its record may be gone.
 func (d *Driver) mayReceiveEarlierOrders(e *engine, now time.Time) bool {
 	startMs := incarnation.Parse(e.id).StartMs
-	if !d.isLeader || d.term == firstTerm || now.Sub(d.leaderSince) > orderMaxDelay || startMs == 0 {
+	if !d.isLeader || d.term == firstTerm || now.Sub(d.leaderSince) > maxOrderDelay || startMs == 0 {
 		return false
 	}
-	return now.Sub(time.UnixMilli(startMs)) < orderMaxDelay+maxClockSkew
+	return now.Sub(time.UnixMilli(startMs)) < maxOrderDelay+maxClockSkew
 }
 
 // lateModels returns the models and adapters that orders to earlier incarnations may still load
--- a/internal/loading/order.go
+++ b/internal/loading/order.go
@@ -102,7 +102,7 @@
 	// trip; any longer timeout delays the first orders of a new leader, and requests for rare
 	// models with them.
 	orderTimeout = 400 * time.Millisecond
-	// reportMaxLag is the maximal age of a report when it arrives: engines report a state some
+	// maxReportLag is the maximal age of a report when it arrives: engines report a state some
 	// hundred milliseconds old.
-	reportMaxLag = 400 * time.Millisecond
+	maxReportLag = 400 * time.Millisecond
 )
--- a/internal/loading/sender.go
+++ b/internal/loading/sender.go
@@ -23,7 +23,7 @@
 // SenderConfig configures a Sender. All fields are required.
 type SenderConfig struct {
 	// CatchUp returns the term of a leader that led at some moment not longer than
-	// LeadershipProofMaxAge before the call, once this host has applied what was committed by
+	// MaxLeadershipProofAge before the call, once this host has applied what was committed by
 	// then.
 	CatchUp func(context.Context) (term uint64, err error)
 	// IsHolder reports whether this host is the order holder of the engine with an
@@ -109,18 +109,18 @@
 	return nil
 }
 
-// confirmTerm returns the term confirmed within confirmationMaxAge, or else the result of a query
+// confirmTerm returns the term confirmed within maxConfirmationAge, or else the result of a query
 // in progress or a new one. A host that was cut off or frozen meanwhile thus learns before it
 // sends an order that another host is the engine's order holder.
 func (s *Sender) confirmTerm(ctx context.Context) (uint64, error) {
 	s.mu.Lock()
 	now := s.cfg.Now()
-	if now.Sub(s.confirmedAt) < confirmationMaxAge {
+	if now.Sub(s.confirmedAt) < maxConfirmationAge {
 		defer s.mu.Unlock()
 		return s.confirmedTerm, nil
 	}
 	q := s.query
-	if q == nil || now.Sub(q.began) >= confirmationMaxAge {
+	if q == nil || now.Sub(q.began) >= maxConfirmationAge {
 		q = &termQuery{began: now, done: make(chan struct{})}
 		s.query = q
 		go s.runQuery(q)
--- a/internal/loading/sending.go
+++ b/internal/loading/sending.go
@@ -87,7 +87,7 @@
 		d.finishOrder(e, now)
 	case OutcomeConflict, OutcomeRefused:
 		// The engine's state differs from the known one; reports lag behind it.
-		e.phase, e.notBefore = phaseUnknown, now.Add(reportMaxLag)
+		e.phase, e.notBefore = phaseUnknown, now.Add(maxReportLag)
 	case OutcomeOtherIncarnation:
 		d.retainLateLoads(e, now)
 		d.removeEngine(e)
@@ -214,7 +214,7 @@
 		d.cfg.Log.Info("no report", "server", e.id, "error", err.Error())
 		return
 	}
-	if d.engines[e.id] != e || e.phase != queried || e.ordersTaken != taken || queriedAt.Sub(e.changedAt) < reportMaxLag {
+	if d.engines[e.id] != e || e.phase != queried || e.ordersTaken != taken || queriedAt.Sub(e.changedAt) < maxReportLag {
 		return
 	}
 	now := d.cfg.Now()
--- a/internal/placement/decide_test.go
+++ b/internal/placement/decide_test.go
@@ -184,8 +184,8 @@
 	assert.Equal(t, "a", plan.Decisions[0].Server)
 }
 
-// The only replica is on a lost server and no second one was confirmed. The reason tells the
-// operator what to do.
+// The only replica is on a lost server and no second one was confirmed. The reason states
+// what the operator has to do.
 func TestForecastNamesLostServer(t *testing.T) {
 	in := twoServers(placement.Model{Name: "m", Version: "1", MemoryMiB: 50, MaxReplicas: 1})
 	in.Servers[0].Usable, in.Servers[0].Lost = false, true
--- a/internal/refusal/refusal.go
+++ b/internal/refusal/refusal.go
@@ -73,7 +73,7 @@
 }
 
 // WithRetryAfter returns a copy with the time after which the caller should retry. Zero or less
-// stands for none.
+// means none.
 func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	c := *r
 	c.retryAfter = d
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -30,10 +30,10 @@
 )
 
 const (
-	// dialTimeout bounds the time to connect. A server in the same region accepts
+	// connectTimeout bounds the time to connect. A server in the same region accepts
 	// within milliseconds; a lost SYN is retransmitted after a second, and by then
 	// another server could have been tried.
-	dialTimeout = 500 * time.Millisecond
+	connectTimeout = 500 * time.Millisecond
 	// tcpUserTimeout closes a connection whose bytes are not acknowledged: a network
 	// partition drops them silently.
 	tcpUserTimeout = 3 * time.Second
@@ -86,7 +86,7 @@
 // NewSender returns a Sender.
 func NewSender(cfg Config) *Sender {
 	s := &Sender{cfg: cfg, dialer: net.Dialer{
-		Timeout: dialTimeout, Control: setUserTimeout,
+		Timeout: connectTimeout, Control: setUserTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 	}}
 	if s.cfg.Dial == nil {
@@ -97,9 +97,9 @@
 	return s
 }
 
-// dial connects to an address within dialTimeout.
+// dial connects to an address within connectTimeout.
 func (s *Sender) dial(ctx context.Context, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	start := time.Now()
 	conn, err := s.cfg.Dial(ctx, address)
--- a/internal/role/entry.go
+++ b/internal/role/entry.go
@@ -167,8 +167,8 @@
 	start := time.Now()
 	e.gateway.StartDraining(start.Add(fractionOf(limit, sendFraction)))
 	e.cfg.Log.Info("draining", "in-flight", e.gateway.InFlight(), "limit-ms", limit.Milliseconds())
-	// From now on each response asks its caller to reconnect, which leads to another entry,
-	// and idle connections are closed.
+	// From now on each response closes its connection, so that its caller connects to another
+	// entry, and idle connections are closed.
 	e.callerServer.SetKeepAlivesEnabled(false)
 	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
--- a/internal/role/orders.go
+++ b/internal/role/orders.go
@@ -17,7 +17,7 @@
 func (c *Control) startOrders(s *schema.JoinSettings) {
 	log, host := c.cfg.Log.WithName("loading"), s.GetHost()
 	c.orderSender = loading.NewSender(loading.SenderConfig{
-		CatchUp: func(ctx context.Context) (uint64, error) { return c.group.CatchUp(ctx, loading.LeadershipProofMaxAge) },
+		CatchUp: func(ctx context.Context) (uint64, error) { return c.group.CatchUp(ctx, loading.MaxLeadershipProofAge) },
 		IsHolder: func(key string) bool {
 			return c.orderHolder(incarnation.ServerOf(key)).Host == c.self.GetPeerAddress()
 		},
--- a/internal/roster/announcements.go
+++ b/internal/roster/announcements.go
@@ -8,9 +8,9 @@
 	"fennelyard/internal/schema"
 )
 
-// announcementRetention is how long a control host remembers a server that has stopped
-// announcing: longer than servers pause, so that one that resumes is still forwarded in a
-// few bytes.
+// announcementRetention is how long a control host keeps the record of a server that has
+// stopped announcing: longer than servers pause, so that one that resumes is still forwarded
+// in a few bytes.
 const announcementRetention = time.Minute
 
 // AnnouncementForwarder buffers the announcements that a control host received from backend
@@ -75,7 +75,7 @@
 	}
 }
 
-// TakePending returns the pending announcements and marks them as sent. It also forgets
+// TakePending returns the pending announcements and marks them as sent. It also removes
 // servers that have been silent for announcementRetention.
 func (f *AnnouncementForwarder) TakePending() []*schema.HeardServer {
 	f.mu.Lock()
--- a/internal/roster/hosts.go
+++ b/internal/roster/hosts.go
@@ -29,15 +29,15 @@
 	// is listed for entries. 33 entries cost the leader 0.03 of a core, as much as all its
 	// decisions; with eight other hosts, each of these serves four more entries instead.
 	maxHostsWithLeader = 5
-	// loadSumMaxAge is how long the sum of the entries' loads is reused before it is
+	// maxLoadSumAge is how long the sum of the entries' loads is reused before it is
 	// computed again. It is sent to each control host ten times a second.
-	loadSumMaxAge = 50 * time.Millisecond
+	maxLoadSumAge = 50 * time.Millisecond
 	// entryCountLogInterval is the minimum time between two log lines with the number of a
 	// host's entries, which changes with each report while hundreds of entries move.
 	entryCountLogInterval = time.Second
 )
 
-// hostState is what the leader knows of one control host, from its newest stream.
+// hostState is the leader's record of one control host, from its newest stream.
 type hostState struct {
 	host         *schema.ControlHost
 	lastReceived time.Time
@@ -237,12 +237,12 @@
 // update: at 25 bytes each and three updates a second, 5 KB/s per entry.
 const maxLoads = 64
 
-// Loads returns the sum of all entries' loads at the engines, at most loadSumMaxAge old.
+// Loads returns the sum of all entries' loads at the engines, at most maxLoadSumAge old.
 // The caller must not modify it.
 func (r *Roster) Loads() *schema.EngineLoads {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := r.cfg.Now(); r.loads == nil || now.Sub(r.loadsAt) > loadSumMaxAge {
+	if now := r.cfg.Now(); r.loads == nil || now.Sub(r.loadsAt) > maxLoadSumAge {
 		r.loads, r.loadsAt = r.sumLoads(), now
 	}
 	return r.loads
--- a/internal/roster/hosts_test.go
+++ b/internal/roster/hosts_test.go
@@ -225,7 +225,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		require.ErrorContains(t, r.AwaitAcked(ctx, target), "h2 e7")
-		// The change number of another leader's term says nothing about this term's
+		// The change number of another leader's term is unrelated to this term's
 		// changes.
 		other := acknowledgement(change + 9)
 		other.Known.Term = term - 1
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -94,9 +94,9 @@
 	termStart time.Time
 	change    uint64
 	servers   map[string]*server
-	// addressOwners is keyed by address, starts by server id.
+	// addressOwners is keyed by address, incarnations by server id.
 	addressOwners map[string]*addressOwner
-	starts        map[string]*serverStart
+	incarnations  map[string]*currentIncarnation
 	changed       chan struct{}
 	// hosts are the control hosts connected to this leader, by address.
 	hosts map[string]*hostState
@@ -130,7 +130,7 @@
 	r.termStart = r.cfg.Now()
 	r.servers = map[string]*server{}
 	r.addressOwners = map[string]*addressOwner{}
-	r.starts = map[string]*serverStart{}
+	r.incarnations = map[string]*currentIncarnation{}
 	if r.changed == nil {
 		r.changed = make(chan struct{})
 	}
@@ -166,13 +166,13 @@
 }
 
 // Announce applies an announcement. It returns false if the announcement is rejected: it is
-// older than the known one, of an earlier start, or of a server whose claim to its address
+// older than the known one, of an earlier incarnation, or of a server whose claim to its address
 // is not confirmed yet.
 func (r *Roster) Announce(a Announcement) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.servers[a.ID]
-	if s != nil && a.Sequence <= s.sequence || !r.acceptsStart(a) || !r.ownsAddress(a) {
+	if s != nil && a.Sequence <= s.sequence || !r.acceptsIncarnation(a) || !r.ownsAddress(a) {
 		return false
 	}
 	state := schema.RosterState_ROSTER_STATE_READY
@@ -202,7 +202,7 @@
 func (r *Roster) Restore(a Announcement) bool {
 	// Every announcement of a known server is newer than this one.
 	a.Sequence = 0
-	if r.hasOtherStart(a.ID) || !r.Announce(a) {
+	if r.hasOtherIncarnation(a.ID) || !r.Announce(a) {
 		return false
 	}
 	r.mu.Lock()
@@ -214,11 +214,12 @@
 	return true
 }
 
-// hasOtherStart reports whether another start of a server is assumed to be running.
-func (r *Roster) hasOtherStart(id string) bool {
+// hasOtherIncarnation reports whether another incarnation of a server is assumed to be
+// running.
+func (r *Roster) hasOtherIncarnation(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	current := r.starts[incarnation.ServerOf(id)]
+	current := r.incarnations[incarnation.ServerOf(id)]
 	return current != nil && current.id != id
 }
 
@@ -251,7 +252,7 @@
 		return true
 	}
 	if owner.id == a.ID || incarnation.ServerOf(owner.id) == incarnation.ServerOf(a.ID) {
-		// acceptsStart has already decided between starts of one server.
+		// acceptsIncarnation has already decided between incarnations of one server.
 		owner.id, owner.challenger = a.ID, ""
 		return true
 	}
@@ -321,8 +322,8 @@
 }
 
 // Depart marks a server that has announced its end. It returns the change number that
-// entries must have acknowledged to know of it. Entries may know a server from an earlier
-// leader that has not announced itself to this one: it is sent to them as gone.
+// entries must have acknowledged to have received it. Entries may have a server from an
+// earlier leader that has not announced itself to this one: it is sent to them as gone.
 func (r *Roster) Depart(id string) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -371,8 +372,8 @@
 			if owner := r.addressOwners[s.view.GetAddress()]; owner != nil && owner.id == id {
 				delete(r.addressOwners, s.view.GetAddress())
 			}
-			if server := incarnation.ServerOf(id); r.starts[server] != nil && r.starts[server].id == id {
-				delete(r.starts, server)
+			if server := incarnation.ServerOf(id); r.incarnations[server] != nil && r.incarnations[server].id == id {
+				delete(r.incarnations, server)
 			}
 		}
 	}
--- a/request.go
+++ b/request.go
@@ -20,7 +20,7 @@
 	headerReplayed   = "Fennelyard-Replayed"
 	headerRepeatable = "Fennelyard-Repeatable"
 
-	idleTimeout       = 10 * time.Second
+	idleConnTimeout   = 10 * time.Second
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 3
@@ -34,7 +34,7 @@
 			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 	}
-	return &http.Transport{DialContext: d.DialContext, IdleConnTimeout: idleTimeout}
+	return &http.Transport{DialContext: d.DialContext, IdleConnTimeout: idleConnTimeout}
 }
 
 // newRequest returns the HTTP request for an attempt, with the trace context and the
