--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -24,7 +24,7 @@
 	ErrNoLeader = errors.New("the control group has no leader that can be reached")
 	// ErrOutcomeUnknown is returned if the command may or may not be committed.
 	ErrOutcomeUnknown = errors.New("the control group did not answer; the outcome is not known")
-	// ErrRefused is returned if the leader rejected the command; the message
+	// ErrRefused is returned if the leader refused the command; the message
 	// contains the reason.
 	ErrRefused = errors.New("the control group refused")
 )
--- a/internal/control/linear_test.go
+++ b/internal/control/linear_test.go
@@ -86,7 +86,7 @@
 }
 
 // revisionModel models the operators' revision: a command based on the current
-// revision is accepted and advances it, any other command is rejected.
+// revision is accepted and advances it, any other command is refused.
 var revisionModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
--- a/internal/gateway/subscriber.go
+++ b/internal/gateway/subscriber.go
@@ -21,15 +21,16 @@
 	// reportInterval is the time between two reports of an entry to its control host. It is a
 	// quarter of the silence timeout, after which callers are no longer sent to the entry.
 	reportInterval = 300 * time.Millisecond
-	// reportPausePerSubscriber, multiplied by the number of entries that subscribe to the host, is
-	// the least time between two reports of an entry; it is at least minReportPause. Demand that
-	// arrives in between is batched into one report, and the load of a host does not grow with its
-	// number of subscribers. A report after a longer silence leaves at once.
-	reportPausePerSubscriber = 1500 * time.Microsecond
-	minReportPause           = 5 * time.Millisecond
-	// deferredReportPauses is the number of such pauses after which a report leaves that adds only
-	// waiting requests for targets that already have reported ones.
-	deferredReportPauses = 4
+	// reportIntervalPerSubscriber, multiplied by the number of entries that subscribe to the
+	// host, is the least time between two reports of an entry; it is at least
+	// minReportInterval. Demand that arrives in between is batched into one report, and the
+	// load of a host does not grow with its number of subscribers. A report after a longer
+	// silence leaves at once.
+	reportIntervalPerSubscriber = 1500 * time.Microsecond
+	minReportInterval           = 5 * time.Millisecond
+	// deferredReportIntervals is the number of such intervals after which a report leaves that
+	// adds only waiting requests for targets that already have reported ones.
+	deferredReportIntervals = 4
 	// hostSilenceTimeout is how long the host may stay silent. It sends an update every 300 ms,
 	// and the first one arrives within a round trip.
 	hostSilenceTimeout = 1200 * time.Millisecond
@@ -314,13 +315,13 @@
 // awaitReport waits until the next report to the host is due. periodic is set if the report
 // interval has elapsed; ok is false if the stream has ended.
 func (s *subscriber) awaitReport(ctx context.Context, ticker *time.Ticker) (periodic, ok bool) {
-	pause := max(minReportPause, time.Duration(s.hostSubscribers.Load())*reportPausePerSubscriber)
+	interval := max(minReportInterval, time.Duration(s.hostSubscribers.Load())*reportIntervalPerSubscriber)
 	select {
 	case <-ctx.Done():
 		return false, false
-	case <-time.After(pause):
+	case <-time.After(interval):
 	}
-	deferral := time.NewTimer((deferredReportPauses - 1) * pause)
+	deferral := time.NewTimer((deferredReportIntervals - 1) * interval)
 	defer deferral.Stop()
 	for pending, elapsed := false, false; !pending || !elapsed; {
 		select {
--- a/internal/order/driver.go
+++ b/internal/order/driver.go
@@ -19,11 +19,11 @@
 const (
 	roundInterval = 100 * time.Millisecond
 	// idleRoundInterval is the time between rounds while nothing waits or changes.
-	// minRoundGap is the minimum time between rounds that reports trigger: with
+	// minRoundInterval is the minimum time between rounds that reports trigger: with
 	// many entries that all have waiting requests, each of their reports would
 	// otherwise cost a decision over the whole region.
 	idleRoundInterval = time.Second
-	minRoundGap       = 20 * time.Millisecond
+	minRoundInterval  = 20 * time.Millisecond
 	// Preloads are considered for every target with an arrival pattern once per
 	// preloadInterval, at most preloadTargetsPerRound in a round.
 	preloadInterval        = time.Minute
--- a/internal/order/reports.go
+++ b/internal/order/reports.go
@@ -91,7 +91,7 @@
 		waiting = waiting || dm.GetWaiting() > 0
 	}
 	d.dirty = d.dirty || waiting
-	if waiting && (now.Sub(d.lastRound) >= minRoundGap || d.needsForecast(report.GetDemands())) {
+	if waiting && (now.Sub(d.lastRound) >= minRoundInterval || d.needsForecast(report.GetDemands())) {
 		d.runRound()
 	}
 	out := &schema.ReportReply{}
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -100,9 +100,9 @@
 	Revision uint64
 }
 
-// reaches reports whether t is at least as far as other.
-func (t Progress) reaches(other Progress) bool {
-	return !t.Known.Before(other.Known) && t.Revision >= other.Revision
+// reaches reports whether p is at least as far as q.
+func (p Progress) reaches(q Progress) bool {
+	return !p.Known.Before(q.Known) && p.Revision >= q.Revision
 }
 
 // New returns an empty registry.
@@ -280,13 +280,13 @@
 	return out
 }
 
-// min returns what both t and u have reached.
-func (t Progress) min(u Progress) Progress {
-	if u.Known.Before(t.Known) {
-		t.Known = u.Known
+// min returns what both p and q have reached.
+func (p Progress) min(q Progress) Progress {
+	if q.Known.Before(p.Known) {
+		p.Known = q.Known
 	}
-	t.Revision = min(t.Revision, u.Revision)
-	return t
+	p.Revision = min(p.Revision, q.Revision)
+	return p
 }
 
 // Count returns the number of subscribed entries.
