--- a/internal/loading/sending.go
+++ b/internal/loading/sending.go
@@ -180,7 +180,7 @@
 // errOtherIncarnation means that another incarnation of the server sent the report.
 var errOtherIncarnation = errors.New("report from another incarnation of the server")
 
-// fetchReport queries an engine for a report. A report of another incarnation is rejected; the
+// fetchReport queries an engine for a report. A report of another incarnation is an error; the
 // announcement of that one arrives within a moment.
 func (d *Driver) fetchReport(ctx context.Context, address, id string) (Report, error) {
 	r, err := d.cfg.FetchReport(ctx, address, id)
--- a/internal/role/entry_session.go
+++ b/internal/role/entry_session.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// sentUpdate records how far an update brings the entry.
+// sentUpdate is the sequence number of an update and the entry's progress after receiving it.
 type sentUpdate struct {
 	sequence uint64
 	progress subscription.Progress
@@ -176,7 +176,7 @@
 // at least three a second, and the host sends at most a hundred updates a second.
 const maxUnackedUpdates = 256
 
-// recordSent records how far an update brings the entry.
+// recordSent records that an update was sent and is not acknowledged yet.
 func (s *entrySession) recordSent(sequence uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
