--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -11,9 +11,9 @@
 	"fennelyard/internal/schema"
 )
 
-// announcementRetention is the time after which an entry removes a server that no longer
+// announcementTTL is the time after which an entry removes a server that no longer
 // announces itself here.
-const announcementRetention = 30 * time.Second
+const announcementTTL = 30 * time.Second
 
 type announcedServer struct {
 	announcement *schema.Announcement
@@ -89,7 +89,7 @@
 	var out []*schema.Announcement
 	for _, name := range slices.Sorted(maps.Keys(r.servers)) {
 		s := r.servers[name]
-		if now.Sub(s.receivedAt) > announcementRetention {
+		if now.Sub(s.receivedAt) > announcementTTL {
 			delete(r.servers, name)
 			continue
 		}
--- a/internal/entry/capacity.go
+++ b/internal/entry/capacity.go
@@ -10,7 +10,7 @@
 	"fennelyard/internal/schema"
 )
 
-const forecastRetention = 3 * time.Second
+const forecastTTL = 3 * time.Second
 
 type forecast struct {
 	readyAt    time.Time
@@ -31,7 +31,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for t, old := range f.byTarget {
-		if now.Sub(old.receivedAt) > forecastRetention {
+		if now.Sub(old.receivedAt) > forecastTTL {
 			delete(f.byTarget, t)
 		}
 	}
@@ -47,7 +47,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	latest, ok := f.byTarget[target]
-	return latest, ok && now.Sub(latest.receivedAt) <= forecastRetention
+	return latest, ok && now.Sub(latest.receivedAt) <= forecastTTL
 }
 
 // target is the model or service of a request, with the servers that can serve it
--- a/internal/order/observed.go
+++ b/internal/order/observed.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// demandRetention is how long an entry's report of its queues is valid.
-	demandRetention = 3 * time.Second
+	// demandTTL is how long an entry's report of its queues is valid.
+	demandTTL = 3 * time.Second
 	// A server that is silent for silenceTimeout gets no new loads; one that is
 	// silent for lostTimeout is recorded as lost.
 	silenceTimeout = 5 * time.Second
 	lostTimeout    = 15 * time.Second
-	// retryRetention is how long refused callers are expected to retry after a report of them.
-	retryRetention = 15 * time.Second
+	// retryTTL is how long refused callers are expected to retry after a report of them.
+	retryTTL = 15 * time.Second
 )
 
 // observedState is the leader's soft state, built from the entries' reports. It is
@@ -162,7 +162,7 @@
 	waiting, running = map[string]placement.Demand{}, map[string]int{}
 	for entry, demands := range st.demands {
 		for target, e := range demands {
-			if now.Sub(e.receivedAt) > demandRetention {
+			if now.Sub(e.receivedAt) > demandTTL {
 				delete(demands, target)
 				continue
 			}
@@ -174,7 +174,7 @@
 		}
 	}
 	for target, at := range st.retriesReported {
-		if now.Sub(at) > retryRetention {
+		if now.Sub(at) > retryTTL {
 			delete(st.retriesReported, target)
 			continue
 		}
