--- a/internal/loading/cluster_test.go
+++ b/internal/loading/cluster_test.go
@@ -221,8 +221,8 @@
 	if e.lastHolder != "" && holder != e.lastHolder && time.Since(e.lastAt) < orderLease {
 		s.t.Errorf("seed %d: %s orders %v after %s", s.seed, holder, time.Since(e.lastAt), e.lastHolder)
 	}
-	if o.FencingToken <= e.lastOrder.FencingToken {
-		s.t.Errorf("seed %d: token %d after %d", s.seed, o.FencingToken, e.lastOrder.FencingToken)
+	if o.Token <= e.lastOrder.Token {
+		s.t.Errorf("seed %d: token %d after %d", s.seed, o.Token, e.lastOrder.Token)
 	}
 	e.lastOrder, e.lastHolder, e.lastAt = o, holder, time.Now()
 }
--- a/internal/loading/late_test.go
+++ b/internal/loading/late_test.go
@@ -71,9 +71,9 @@
 		},
 		Now: time.Now, Log: logr.Discard(),
 	})
-	_, err := s.Send(context.Background(), 2, "a:1", loading.Order{Server: "e1@2000", FencingToken: 16})
+	_, err := s.Send(context.Background(), 2, "a:1", loading.Order{Server: "e1@2000", Token: 16})
 	require.NoError(t, err)
-	_, err = s.Send(context.Background(), 2, "a:1", loading.Order{Server: "e1@1000", FencingToken: 11})
+	_, err = s.Send(context.Background(), 2, "a:1", loading.Order{Server: "e1@1000", Token: 11})
 	require.ErrorIs(t, err, loading.ErrNotSent)
 	require.Equal(t, 1, sent)
 }
--- a/internal/loading/order.go
+++ b/internal/loading/order.go
@@ -39,8 +39,8 @@
 	Adapter string
 	// OrdersTaken is how many orders the engine must have taken before this one.
 	OrdersTaken uint64
-	// FencingToken grows with every order across all leaders.
-	FencingToken uint64
+	// Token is the fencing token: it grows with every order across all leaders.
+	Token uint64
 }
 
 // Report is an engine's reply to a query of its state.
--- a/internal/loading/sender.go
+++ b/internal/loading/sender.go
@@ -74,7 +74,7 @@
 // ErrNotSent if the order was not sent.
 func (s *Sender) Send(ctx context.Context, term uint64, address string, o Order) (Outcome, error) {
 	if err := s.checkOrder(ctx, term, o); err != nil {
-		s.cfg.Log.Info("order not sent", "server", o.Server, "term", term, "token", o.FencingToken, "error", asynclog.ErrorText(err))
+		s.cfg.Log.Info("order not sent", "server", o.Server, "term", term, "token", o.Token, "error", asynclog.ErrorText(err))
 		return OutcomeUnknown, errors.Newf("%v: %w", err, ErrNotSent)
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -99,13 +99,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	server := incarnation.ServerOf(o.Server)
-	if o.FencingToken <= s.tokens[server] {
+	if o.Token <= s.tokens[server] {
 		return errors.New("a later order went first")
 	}
 	if len(s.tokens) >= maxTokens {
 		clear(s.tokens)
 	}
-	s.tokens[server] = o.FencingToken
+	s.tokens[server] = o.Token
 	return nil
 }
 
--- a/internal/loading/sender_test.go
+++ b/internal/loading/sender_test.go
@@ -62,7 +62,7 @@
 					wg.Go(func() {
 						time.Sleep(time.Duration(i%3) * time.Microsecond)
 						server := string(rune('a' + i))
-						_, err := s.Send(t.Context(), 7, "a:1", loading.Order{Server: server, FencingToken: uint64(i + 1)})
+						_, err := s.Send(t.Context(), 7, "a:1", loading.Order{Server: server, Token: uint64(i + 1)})
 						require.Equal(t, test.sent == 0, errors.Is(err, loading.ErrNotSent))
 					})
 				}
--- a/internal/loading/sending.go
+++ b/internal/loading/sending.go
@@ -32,7 +32,7 @@
 	d.orderCount++
 	o := Order{
 		Server: e.id, Load: e.order.Load, Model: e.order.Model, Adapter: e.order.Adapter, OrdersTaken: e.ordersTaken,
-		FencingToken: d.term<<orderCountBits | d.orderCount,
+		Token: d.term<<orderCountBits | d.orderCount,
 	}
 	if e.order.FromStore {
 		d.storeLoadStarts[e.pool] = append(d.storeLoadStarts[e.pool], now)
@@ -67,7 +67,7 @@
 	defer d.mu.Unlock()
 	now := d.cfg.Now()
 	d.cfg.Log.Info("order given", "server", o.Server, "load", o.Load, "model", o.Model, "adapter", o.Adapter,
-		"taken", o.OrdersTaken, "token", o.FencingToken, "holder", e.holder.Host, "from-store", e.order.FromStore,
+		"taken", o.OrdersTaken, "token", o.Token, "holder", e.holder.Host, "from-store", e.order.FromStore,
 		"reason", e.order.Reason.String(), "outcome", outcome.String(), "error", asynclog.ErrorText(err))
 	if d.cfg.ObserveOrder != nil {
 		d.cfg.ObserveOrder(outcome, o.Load, o.Adapter != "")
--- a/internal/role/orders.go
+++ b/internal/role/orders.go
@@ -87,7 +87,7 @@
 		return loading.OutcomeUnknown, errors.Newf("connect to order holder: %v: %w", err, loading.ErrNotSent)
 	}
 	reply, err := client.GiveOrder(ctx, &schema.GiveOrderRequest{
-		Term: term, Address: address, Server: o.Server, Load: o.Load, Model: o.Model, Adapter: o.Adapter, Taken: o.OrdersTaken, Token: o.FencingToken,
+		Term: term, Address: address, Server: o.Server, Load: o.Load, Model: o.Model, Adapter: o.Adapter, Taken: o.OrdersTaken, Token: o.Token,
 	})
 	switch {
 	case err != nil:
@@ -103,7 +103,7 @@
 // handleOrder sends an order on behalf of the leader.
 func (c *Control) handleOrder(ctx context.Context, q *schema.GiveOrderRequest) (*schema.GiveOrderReply, error) {
 	outcome, err := c.orderSender.Send(ctx, q.GetTerm(), q.GetAddress(), loading.Order{
-		Server: q.GetServer(), Load: q.GetLoad(), Model: q.GetModel(), Adapter: q.GetAdapter(), OrdersTaken: q.GetTaken(), FencingToken: q.GetToken(),
+		Server: q.GetServer(), Load: q.GetLoad(), Model: q.GetModel(), Adapter: q.GetAdapter(), OrdersTaken: q.GetTaken(), Token: q.GetToken(),
 	})
 	reply := &schema.GiveOrderReply{Sent: !errors.Is(err, loading.ErrNotSent), Outcome: uint32(outcome)}
 	if err != nil {
